--- a/front/fleet_api.cpp
+++ b/front/fleet_api.cpp
@@ -42,8 +42,8 @@
   if (auto *spoken = std::get_if<platform::Announcement>(&call)) {
     TimePoint now = Clock::now();
     NodeMessages out;
-    SightingResult result = takeAnnouncement(With.Core.State, With.Gossip,
-                                             spoken->Sighting, now, out);
+    SightingResult result = handleAnnouncement(With.Core.State, With.Gossip,
+                                               spoken->Sighting, now, out);
     if (result != SightingResult::Refreshed)
       logEvent(LogLevel::Info,
                result == SightingResult::Changed ? "endpoint_changed"
--- a/front/fleet_view.cpp
+++ b/front/fleet_view.cpp
@@ -8,13 +8,14 @@
 
 namespace {
 
-/// True when \p Subject may be sent to \p Address again.
-bool mayRepair(GossipState &Gossip, const std::string &Address,
+/// True, once per ResyncPeriod, when \p Subject may be synchronised with
+/// \p Address again.
+bool mayResync(GossipState &Gossip, const std::string &Address,
                const char *Subject, TimePoint Now) {
-  TimePoint &next = Gossip.NextRepair[Address + Subject];
+  TimePoint &next = Gossip.NextResync[Address + Subject];
   if (!isPast(next, Now))
     return false;
-  next = Now + RepairPeriod;
+  next = Now + ResyncPeriod;
   return true;
 }
 
@@ -24,8 +25,8 @@
     Out.push_back({Address, std::move(Message)});
 }
 
-std::vector<std::string> frontAddresses(const FrontState &State,
-                                        TimePoint Now) {
+std::vector<std::string> listFrontAddresses(const FrontState &State,
+                                            TimePoint Now) {
   std::vector<std::string> out;
   for (const auto &[name, it] : State.Roster.Nodes)
     if (it.Entry.kind() == wire::NODE_FRONT &&
@@ -41,36 +42,38 @@
   return digest;
 }
 
-/// Models go on only when they differ from what was told last.
-void dropToldModels(GossipState &Gossip, wire::EndpointSighting &Sighting) {
+/// Removes the models from a sighting when they are the same as those sent last
+/// for this endpoint.
+void dropUnchangedModels(GossipState &Gossip,
+                         wire::EndpointSighting &Sighting) {
   if (!Sighting.has_models())
     return;
   uint64_t digest = digestModels(Sighting);
-  uint64_t &told = Gossip.ToldModels[Sighting.id()];
-  if (told == digest) {
+  uint64_t &sentDigest = Gossip.SentModelDigests[Sighting.id()];
+  if (sentDigest == digest) {
     Sighting.clear_models();
     Sighting.clear_in_memory();
     Sighting.clear_on_disk();
     Sighting.set_has_models(false);
   }
-  told = digest;
+  sentDigest = digest;
 }
 
-bool isNewerLeader(const FrontState &State, const wire::NodeHeartbeat &Beat,
-                   TimePoint Now) {
-  return Beat.term() >= State.Leader.Term ||
+bool isNewerLeader(const FrontState &State,
+                   const wire::NodeHeartbeat &Heartbeat, TimePoint Now) {
+  return Heartbeat.term() >= State.Leader.Term ||
          Now - State.Leader.HeardAt > NodeSilence;
 }
 
 } // namespace
 
-void takeOwnDemand(FrontState &State, wire::NodeHeartbeat &Beat,
-                   TimePoint Now) {
+void collectOwnDemand(FrontState &State, wire::NodeHeartbeat &Heartbeat,
+                      TimePoint Now) {
   for (auto &[name, it] : State.Quotas) {
     noteDemand(it, {}, Now);
     if (it.DemandRate < 1)
       continue;
-    wire::OrganisationDemand &demand = *Beat.add_organisations();
+    wire::OrganisationDemand &demand = *Heartbeat.add_organisations();
     demand.set_organisation(name);
     demand.set_tokens_per_s(static_cast<uint64_t>(it.DemandRate));
   }
@@ -78,7 +81,7 @@
     bool isWanted = !isPast(it.WantedUntil, Now);
     if (it.Arrivals == 0 && it.Open == 0 && it.Waiting.empty() && !isWanted)
       continue;
-    wire::RowDemand &demand = *Beat.add_rows();
+    wire::RowDemand &demand = *Heartbeat.add_rows();
     demand.set_model(name);
     demand.set_arrivals(it.Arrivals);
     demand.set_worth(it.Worth);
@@ -92,17 +95,17 @@
   }
 }
 
-void noteDemandOf(FleetDemand &Demand, const std::string &Front,
-                  const wire::NodeHeartbeat &Beat, TimePoint Now) {
-  FleetDemand::FrontPart &part = Demand.Fronts[Front];
-  part.HeardAt = Now;
-  part.Organisations.clear();
-  part.Rows.clear();
-  for (const wire::OrganisationDemand &it : Beat.organisations())
-    part.Organisations[it.organisation()] =
+void recordDemand(FleetDemand &Demand, const std::string &Front,
+                  const wire::NodeHeartbeat &Heartbeat, TimePoint Now) {
+  FleetDemand::FrontReport &report = Demand.Fronts[Front];
+  report.HeardAt = Now;
+  report.Organisations.clear();
+  report.Rows.clear();
+  for (const wire::OrganisationDemand &it : Heartbeat.organisations())
+    report.Organisations[it.organisation()] =
         static_cast<double>(it.tokens_per_s());
-  for (const wire::RowDemand &it : Beat.rows()) {
-    part.Rows[it.model()] = it;
+  for (const wire::RowDemand &it : Heartbeat.rows()) {
+    report.Rows[it.model()] = it;
     if (it.arrivals() == 0)
       continue;
     ArrivalRates &rates = Demand.Rates[it.model()];
@@ -112,10 +115,10 @@
   }
 }
 
-Millis paceToAll(Millis Period, size_t Fronts) {
-  auto scaled =
-      Period * static_cast<int64_t>(Fronts) / static_cast<int64_t>(FewFronts);
-  return std::max(Period, std::min(scaled, MostHeartbeatPace));
+Millis broadcastPeriod(Millis Period, size_t Fronts) {
+  auto scaled = Period * static_cast<int64_t>(Fronts) /
+                static_cast<int64_t>(MaxFrontsAtFullRate);
+  return std::max(Period, std::min(scaled, MaxBroadcastPeriod));
 }
 
 namespace {
@@ -123,14 +126,14 @@
 wire::Envelope makeHeartbeat(const FrontState &State, bool IsLeader,
                              uint64_t Term, TimePoint Now) {
   wire::Envelope message;
-  wire::NodeHeartbeat &beat = *message.mutable_node_heartbeat();
-  *beat.mutable_self() = State.Self;
-  beat.set_table_version(State.Table ? State.Table->Version : 0);
-  beat.set_roster_digest(digestRoster(State.Roster, State.Self, Now));
-  beat.set_endpoint_digest(digestEndpoints(State.Directory));
-  beat.set_is_leader(IsLeader);
-  beat.set_term(IsLeader ? Term : 0);
-  beat.set_is_leaving(State.IsStopping);
+  wire::NodeHeartbeat &heartbeat = *message.mutable_node_heartbeat();
+  *heartbeat.mutable_self() = State.Self;
+  heartbeat.set_table_version(State.Table ? State.Table->Version : 0);
+  heartbeat.set_roster_digest(digestRoster(State.Roster, State.Self, Now));
+  heartbeat.set_endpoint_digest(digestEndpoints(State.Directory));
+  heartbeat.set_is_leader(IsLeader);
+  heartbeat.set_term(IsLeader ? Term : 0);
+  heartbeat.set_is_leaving(State.IsStopping);
   return message;
 }
 
@@ -139,65 +142,69 @@
 void sendHeartbeats(FrontState &State, GossipState &Gossip, bool IsLeader,
                     uint64_t Term, TimePoint Now, NodeMessages &Out) {
   wire::Envelope message = makeHeartbeat(State, IsLeader, Term, Now);
-  bool isToAll = isPast(Gossip.NextToAll, Now);
-  if (isToAll) {
-    for (wire::EndpointSighting &it : Gossip.Heard) {
-      dropToldModels(Gossip, it);
+  bool isBroadcast = isPast(Gossip.NextBroadcast, Now);
+  if (isBroadcast) {
+    for (wire::EndpointSighting &it : Gossip.PendingSightings) {
+      dropUnchangedModels(Gossip, it);
       *message.mutable_node_heartbeat()->add_alive() = it;
     }
-    Gossip.Heard.clear();
-    Gossip.NextToAll = Now + paceToAll(HeartbeatPace, countFronts(State, Now)) -
-                       HeartbeatPace / 2;
+    Gossip.PendingSightings.clear();
+    Gossip.NextBroadcast =
+        Now + broadcastPeriod(HeartbeatPeriod, countFronts(State, Now)) -
+        HeartbeatPeriod / 2;
   }
-  std::set<std::string> told;
+  std::set<std::string> recipients;
   bool hasLeader = !IsLeader && Now - State.Leader.HeardAt < NodeSilence;
   if (hasLeader) {
     wire::Envelope toLeader = message;
-    takeOwnDemand(State, *toLeader.mutable_node_heartbeat(), Now);
-    told.insert(State.Leader.Address);
+    collectOwnDemand(State, *toLeader.mutable_node_heartbeat(), Now);
+    recipients.insert(State.Leader.Address);
     send(Out, State.Leader.Address, std::move(toLeader));
   }
-  if (!isToAll)
+  if (!isBroadcast)
     return;
-  for (const std::string &it : frontAddresses(State, Now))
-    if (told.insert(it).second)
+  for (const std::string &it : listFrontAddresses(State, Now))
+    if (recipients.insert(it).second)
       send(Out, it, message);
-  // Seeds that were never heard, or were lost, are asked again.
+  // Also contacts seeds that have never been heard from or went out of view.
   for (const std::string &it : Gossip.Seeds)
-    if (it != State.Self.address() && told.insert(it).second)
+    if (it != State.Self.address() && recipients.insert(it).second)
       send(Out, it, message);
 }
 
 namespace {
 
-/// A new leader has to plan and divide for requests that it knows nothing of.
-void tellNewLeader(FrontState &State, TimePoint Now, NodeMessages &Out) {
+/// Reports demand at once instead of with the next heartbeat: a new leader has
+/// no knowledge of the requests it must plan loads and divide rates for.
+void sendDemandToNewLeader(FrontState &State, TimePoint Now,
+                           NodeMessages &Out) {
   wire::Envelope message = makeHeartbeat(State, false, 0, Now);
-  takeOwnDemand(State, *message.mutable_node_heartbeat(), Now);
+  collectOwnDemand(State, *message.mutable_node_heartbeat(), Now);
   send(Out, State.Leader.Address, std::move(message));
 }
 
-void takeLeader(FrontState &State, const wire::NodeHeartbeat &Beat,
-                TimePoint Now, NodeMessages &Out) {
-  const wire::NodeEntry &self = Beat.self();
+void setLeader(FrontState &State, const wire::NodeHeartbeat &Heartbeat,
+               TimePoint Now, NodeMessages &Out) {
+  const wire::NodeEntry &self = Heartbeat.self();
   bool isNew =
-      State.Leader.Node != self.name() || State.Leader.Term != Beat.term();
+      State.Leader.Node != self.name() || State.Leader.Term != Heartbeat.term();
   State.Leader = {self.name(), self.address(), self.control_address(),
-                  Beat.term(), Now};
+                  Heartbeat.term(), Now};
   if (isNew)
-    tellNewLeader(State, Now, Out);
+    sendDemandToNewLeader(State, Now, Out);
 }
 
 } // namespace
 
-void takeNodeHeartbeat(FrontState &State, GossipState &Gossip,
-                       FleetDemand &Demand, const wire::NodeHeartbeat &Beat,
-                       TimePoint Now, NodeMessages &Out) {
-  const wire::NodeEntry &self = Beat.self();
+void handleNodeHeartbeat(FrontState &State, GossipState &Gossip,
+                         FleetDemand &Demand,
+                         const wire::NodeHeartbeat &Heartbeat, TimePoint Now,
+                         NodeMessages &Out) {
+  const wire::NodeEntry &self = Heartbeat.self();
   if (self.name() == State.Self.name())
     return;
   if (self.kind() != wire::NODE_FRONT) {
-    // An agent asks for the fronts in view; it hears of them in no other way.
+    // An agent learns the fronts in view only from this reply.
     wire::Envelope message;
     *message.mutable_roster_update() =
         printRoster(State.Roster, State.Self, Now);
@@ -205,32 +212,34 @@
     return;
   }
   bool isNew = hearNode(State.Roster, self, Now);
-  State.Roster.Nodes[self.name()].IsLeaving = Beat.is_leaving();
-  if (Beat.is_leader() && isNewerLeader(State, Beat, Now))
-    takeLeader(State, Beat, Now, Out);
-  noteDemandOf(Demand, self.name(), Beat, Now);
-  for (const wire::EndpointSighting &it : Beat.alive())
+  State.Roster.Nodes[self.name()].IsLeaving = Heartbeat.is_leaving();
+  if (Heartbeat.is_leader() && isNewerLeader(State, Heartbeat, Now))
+    setLeader(State, Heartbeat, Now, Out);
+  recordDemand(Demand, self.name(), Heartbeat, Now);
+  for (const wire::EndpointSighting &it : Heartbeat.alive())
     applySighting(State.Directory, it, Now);
   uint64_t version = State.Table ? State.Table->Version : 0;
-  State.Roster.Nodes[Beat.self().name()].TableVersion = Beat.table_version();
-  if (Beat.table_version() > version &&
-      mayRepair(Gossip, self.address(), "/table", Now)) {
+  State.Roster.Nodes[Heartbeat.self().name()].TableVersion =
+      Heartbeat.table_version();
+  if (Heartbeat.table_version() > version &&
+      mayResync(Gossip, self.address(), "/table", Now)) {
     wire::Envelope message;
     message.mutable_table_request()->set_known_version(version);
     send(Out, self.address(), std::move(message));
   }
-  // A front that has just started knows nothing: it need not ask.
-  if (isNew && Beat.table_version() < version)
+  // A newly started front is sent the table without having to request it.
+  if (isNew && Heartbeat.table_version() < version)
     sendTable(State, self.address(), Out);
-  if (Beat.roster_digest() != digestRoster(State.Roster, State.Self, Now) &&
-      mayRepair(Gossip, self.address(), "/roster", Now)) {
+  if (Heartbeat.roster_digest() !=
+          digestRoster(State.Roster, State.Self, Now) &&
+      mayResync(Gossip, self.address(), "/roster", Now)) {
     wire::Envelope message;
     *message.mutable_roster_update() =
         printRoster(State.Roster, State.Self, Now);
     send(Out, self.address(), std::move(message));
   }
-  if (Beat.endpoint_digest() != digestEndpoints(State.Directory) &&
-      mayRepair(Gossip, self.address(), "/endpoints", Now)) {
+  if (Heartbeat.endpoint_digest() != digestEndpoints(State.Directory) &&
+      mayResync(Gossip, self.address(), "/endpoints", Now)) {
     wire::Envelope message;
     wire::EndpointNews &news = *message.mutable_endpoint_news();
     news.set_is_whole(true);
@@ -240,32 +249,32 @@
   }
 }
 
-void takeRoster(FrontState &State, const wire::RosterUpdate &Update,
-                TimePoint Now) {
+void applyRosterUpdate(FrontState &State, const wire::RosterUpdate &Update,
+                       TimePoint Now) {
   for (const wire::NodeEntry &it : Update.nodes())
     learnNode(State.Roster, it, State.Self.name(), Now);
 }
 
-void takeNews(FrontState &State, const wire::EndpointNews &News,
-              TimePoint Now) {
+void applyEndpointNews(FrontState &State, const wire::EndpointNews &News,
+                       TimePoint Now) {
   for (const wire::EndpointSighting &it : News.endpoints())
     applySighting(State.Directory, it, Now);
 }
 
-SightingResult takeAnnouncement(FrontState &State, GossipState &Gossip,
-                                const wire::EndpointSighting &Sighting,
-                                TimePoint Now, NodeMessages &Out) {
+SightingResult handleAnnouncement(FrontState &State, GossipState &Gossip,
+                                  const wire::EndpointSighting &Sighting,
+                                  TimePoint Now, NodeMessages &Out) {
   SightingResult result = applySighting(State.Directory, Sighting, Now);
   if (result == SightingResult::Refreshed)
-    Gossip.Heard.push_back(Sighting);
+    Gossip.PendingSightings.push_back(Sighting);
   if (result != SightingResult::Changed)
     return result;
   wire::Envelope message;
   *message.mutable_endpoint_news()->add_endpoints() = Sighting;
-  for (const std::string &it : frontAddresses(State, Now))
+  for (const std::string &it : listFrontAddresses(State, Now))
     send(Out, it, message);
-  // Once more with the next heartbeat, should a message be lost.
-  Gossip.Heard.push_back(Sighting);
+  // Repeated with the next broadcast heartbeat in case a message is lost.
+  Gossip.PendingSightings.push_back(Sighting);
   return result;
 }
 
--- a/front/fleet_view.h
+++ b/front/fleet_view.h
@@ -1,7 +1,7 @@
 /// \file
-/// Messages by which fronts keep one another's views alike: nodes, endpoints,
-/// the table's version and demand. Each message may be lost; the next one
-/// repairs it.
+/// Gossip by which fronts synchronise their views of the fleet: nodes,
+/// endpoints, the table version and demand. Any message may be lost; later
+/// ones bring the receiver up to date.
 #ifndef SASSAFRAS_FRONT_FLEET_VIEW_H
 #define SASSAFRAS_FRONT_FLEET_VIEW_H
 
@@ -12,20 +12,21 @@
 
 namespace sassafras {
 
-/// Fronts tell the leader their demand at this pace, and one another that they
-/// live as long as they are few.
-inline constexpr Millis HeartbeatPace{300};
-/// A front that has just started and knows no table asks at this pace: the
-/// first messages may find nobody listening yet.
-inline constexpr Millis NewcomerPace{100};
-/// Fronts for each of which a heartbeat to all others costs no more than the
-/// rest.
-inline constexpr size_t FewFronts = 10;
-/// Beats to all are at most this far apart: three are lost before a front
-/// counts as out of view.
-inline constexpr Millis MostHeartbeatPace{800};
-/// Whole views are sent to one node at most this often.
-inline constexpr Millis RepairPeriod{700};
+/// Interval of heartbeats that report demand to the leader, and of heartbeats
+/// to all fronts while there are few of them.
+inline constexpr Millis HeartbeatPeriod{300};
+/// Heartbeat interval of a front that has no serving table yet. It is short
+/// because the first messages may be sent before any peer is listening.
+inline constexpr Millis StartupHeartbeatPeriod{100};
+/// With up to this many fronts, every front broadcasts at the full rate, which
+/// costs no more than the rest of its heartbeat traffic.
+inline constexpr size_t MaxFrontsAtFullRate = 10;
+/// Upper bound of the interval between broadcast heartbeats. Three in a row
+/// must be lost before a front counts as out of view (NodeSilence).
+inline constexpr Millis MaxBroadcastPeriod{800};
+/// Minimum interval between two full updates on the same subject that are sent
+/// to, or requested from, the same node.
+inline constexpr Millis ResyncPeriod{700};
 
 struct NodeMessage {
   std::string Address;
@@ -33,54 +34,67 @@
 };
 using NodeMessages = std::vector<NodeMessage>;
 
-/// What the gossip keeps beside the front's state.
+/// State of the gossip protocol that is not part of FrontState.
 struct GossipState {
-  std::vector<std::string> Seeds;              ///< Inner addresses.
-  std::vector<wire::EndpointSighting> Heard;   ///< Since the last heartbeat.
-  std::map<std::string, TimePoint> NextRepair; ///< By address and subject.
-  std::map<std::string, uint64_t> ToldModels;  ///< Digest by endpoint.
-  TimePoint NextToAll;
+  std::vector<std::string> Seeds; ///< Internal addresses.
+  /// Sightings to pass on with the next broadcast heartbeat.
+  std::vector<wire::EndpointSighting> PendingSightings;
+  std::map<std::string, TimePoint> NextResync; ///< By address and subject.
+  /// Digest of the models last sent for each endpoint.
+  std::map<std::string, uint64_t> SentModelDigests;
+  TimePoint NextBroadcast;
 };
 
-/// What the leader keeps of the fronts' demand.
+/// Demand of all fronts as known to the leader.
 struct FleetDemand {
-  struct FrontPart {
+  struct FrontReport {
     TimePoint HeardAt;
-    std::map<std::string, double> Organisations; ///< Tokens a second.
-    std::map<std::string, wire::RowDemand> Rows;
+    std::map<std::string, double> Organisations; ///< Tokens per second.
+    std::map<std::string, wire::RowDemand> Rows; ///< By model.
   };
-  std::map<std::string, FrontPart> Fronts;
+  std::map<std::string, FrontReport> Fronts; ///< By node name.
   std::map<std::string, ArrivalRates> Rates; ///< By model.
 };
 
-/// Pace of what goes to all of \p Fronts: the sum of it over all senders grows
-/// with their number only, not with its square.
-Millis paceToAll(Millis Period, size_t Fronts);
-/// One heartbeat to the leader, and to every front where it is time to.
+/// Interval of messages to all of \p Fronts. It is stretched with the number of
+/// fronts, so that the total number of messages grows linearly with it and not
+/// quadratically; bounded by MaxBroadcastPeriod.
+Millis broadcastPeriod(Millis Period, size_t Fronts);
+/// Appends a heartbeat with demand to the leader and, when a broadcast is due,
+/// heartbeats to all other fronts and to the seeds.
 void sendHeartbeats(FrontState &State, GossipState &Gossip, bool IsLeader,
                     uint64_t Term, TimePoint Now, NodeMessages &Out);
-/// A heartbeat of another front. \p Demand takes its demand where this one
-/// leads.
-void takeNodeHeartbeat(FrontState &State, GossipState &Gossip,
-                       FleetDemand &Demand, const wire::NodeHeartbeat &Beat,
-                       TimePoint Now, NodeMessages &Out);
-void takeRoster(FrontState &State, const wire::RosterUpdate &Update,
-                TimePoint Now);
-void takeNews(FrontState &State, const wire::EndpointNews &News, TimePoint Now);
-/// An endpoint spoke to this front: passes on at once what changed.
-SightingResult takeAnnouncement(FrontState &State, GossipState &Gossip,
-                                const wire::EndpointSighting &Sighting,
-                                TimePoint Now, NodeMessages &Out);
-/// Answers a node that lacks a table.
+/// Handles a heartbeat of another front or of an agent. Records the demand in
+/// it in \p Demand, which only the leader uses, and appends the messages that
+/// resolve differences between the two views.
+void handleNodeHeartbeat(FrontState &State, GossipState &Gossip,
+                         FleetDemand &Demand,
+                         const wire::NodeHeartbeat &Heartbeat, TimePoint Now,
+                         NodeMessages &Out);
+/// Adds the nodes that another front passed on.
+void applyRosterUpdate(FrontState &State, const wire::RosterUpdate &Update,
+                       TimePoint Now);
+/// Applies the sightings of endpoints that another front passed on.
+void applyEndpointNews(FrontState &State, const wire::EndpointNews &News,
+                       TimePoint Now);
+/// Applies an announcement that an endpoint made to this front. A change is
+/// sent to the other fronts at once, a refresh with the next broadcast.
+SightingResult handleAnnouncement(FrontState &State, GossipState &Gossip,
+                                  const wire::EndpointSighting &Sighting,
+                                  TimePoint Now, NodeMessages &Out);
+/// Sends the table in force, if there is one, to \p Address.
 void sendTable(const FrontState &State, const std::string &Address,
                NodeMessages &Out);
-/// A new table, to the fronts that keep no log.
+/// Sends a new table to the fronts in view that are not voters: they do not
+/// receive it through the replicated log.
 void pushTable(const FrontState &State, TimePoint Now, NodeMessages &Out);
-/// Takes demand of one front, this one included.
-void noteDemandOf(FleetDemand &Demand, const std::string &Front,
-                  const wire::NodeHeartbeat &Beat, TimePoint Now);
-/// Fills the demand part of a heartbeat and starts to count anew.
-void takeOwnDemand(FrontState &State, wire::NodeHeartbeat &Beat, TimePoint Now);
+/// Replaces the recorded demand of a front, this one included, by that in
+/// \p Heartbeat and adds its arrivals to the averages.
+void recordDemand(FleetDemand &Demand, const std::string &Front,
+                  const wire::NodeHeartbeat &Heartbeat, TimePoint Now);
+/// Fills in the demand part of a heartbeat and resets the arrival counters.
+void collectOwnDemand(FrontState &State, wire::NodeHeartbeat &Heartbeat,
+                      TimePoint Now);
 
 } // namespace sassafras
 
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -337,15 +337,15 @@
   FrontState &state = Core.State;
   switch (Message.body_case()) {
   case wire::Envelope::kNodeHeartbeat:
-    takeNodeHeartbeat(state, Gossip, Leader.Demand, Message.node_heartbeat(),
-                      now, out);
+    handleNodeHeartbeat(state, Gossip, Leader.Demand, Message.node_heartbeat(),
+                        now, out);
     HasChanged = true;
     break;
   case wire::Envelope::kRosterUpdate:
-    takeRoster(state, Message.roster_update(), now);
+    applyRosterUpdate(state, Message.roster_update(), now);
     break;
   case wire::Envelope::kEndpointNews:
-    takeNews(state, Message.endpoint_news(), now);
+    applyEndpointNews(state, Message.endpoint_news(), now);
     HasChanged = true;
     break;
   case wire::Envelope::kEngineReport:
@@ -487,7 +487,7 @@
   if (NewView.IsLeader && !View.IsLeader) {
     // All fronts are told at once: they wait for forecasts and tokens.
     NextBeat = TimePoint();
-    Gossip.NextToAll = TimePoint();
+    Gossip.NextBroadcast = TimePoint();
   }
   View = NewView;
   Core.State.IsLeading = View.IsLeader;
@@ -607,12 +607,13 @@
 }
 
 void FrontShell::beat(TimePoint Now) {
-  NextBeat = Now + (Core.State.Table ? HeartbeatPace : NewcomerPace);
+  NextBeat =
+      Now + (Core.State.Table ? HeartbeatPeriod : StartupHeartbeatPeriod);
   NodeMessages out;
   if (View.IsLeader) {
     wire::NodeHeartbeat own;
-    takeOwnDemand(Core.State, own, Now);
-    noteDemandOf(Leader.Demand, Options.Node, own, Now);
+    collectOwnDemand(Core.State, own, Now);
+    recordDemand(Leader.Demand, Options.Node, own, Now);
   }
   sendHeartbeats(Core.State, Gossip, View.IsLeader, View.Term, Now, out);
   send(std::move(out));
--- a/front/leader_work.cpp
+++ b/front/leader_work.cpp
@@ -326,7 +326,7 @@
 
 void takeWish(LeaderState &Leader, const std::string &Front,
               const wire::RowDemand &Row, TimePoint Now) {
-  FleetDemand::FrontPart &part = Leader.Demand.Fronts[Front];
+  FleetDemand::FrontReport &part = Leader.Demand.Fronts[Front];
   part.HeardAt = Now;
   part.Rows[Row.model()] = Row;
   Leader.NextPlan = Now;
--- a/tests/front/test_fleet_view.cpp
+++ b/tests/front/test_fleet_view.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What fronts tell one another, and when.
+/// Heartbeats between fronts.
 #include "front/fleet_view.h"
 
 #include <catch2/catch.hpp>
@@ -10,7 +10,7 @@
 
 const TimePoint Start = TimePoint() + std::chrono::hours(1);
 
-wire::NodeHeartbeat leaderBeat(const std::string &Name, uint64_t Term) {
+wire::NodeHeartbeat leaderHeartbeat(const std::string &Name, uint64_t Term) {
   wire::NodeHeartbeat out;
   out.mutable_self()->set_name(Name);
   out.mutable_self()->set_address(Name + ":1");
@@ -20,7 +20,7 @@
   return out;
 }
 
-/// Demand rows sent to \p Address.
+/// Number of demand rows sent to \p Address.
 size_t countRows(const NodeMessages &Messages, const std::string &Address) {
   size_t n = 0;
   for (const NodeMessage &it : Messages)
@@ -31,25 +31,29 @@
 
 } // namespace
 
-// A leader was lost, and requests wait for models at all fronts: the next one
-// can plan for them only once it knows of them.
-TEST_CASE("front tells a new leader at once what is asked of it") {
+// After a change of leader, requests wait for models at all fronts, and the new
+// leader can plan loads for them only once the fronts have reported them.
+TEST_CASE("front reports its demand to a new leader at once") {
   FrontState state;
   state.Self.set_name("front");
   GossipState gossip;
   FleetDemand demand;
   state.Rows["cold"].Waiting = {1, 2};
   NodeMessages out;
-  takeNodeHeartbeat(state, gossip, demand, leaderBeat("a", 1), Start, out);
+  handleNodeHeartbeat(state, gossip, demand, leaderHeartbeat("a", 1), Start,
+                      out);
   CHECK(countRows(out, "a:1") == 1);
   out.clear();
-  takeNodeHeartbeat(state, gossip, demand, leaderBeat("a", 1), Start, out);
+  handleNodeHeartbeat(state, gossip, demand, leaderHeartbeat("a", 1), Start,
+                      out);
   CHECK(countRows(out, "a:1") == 0);
-  takeNodeHeartbeat(state, gossip, demand, leaderBeat("b", 2), Start, out);
+  handleNodeHeartbeat(state, gossip, demand, leaderHeartbeat("b", 2), Start,
+                      out);
   CHECK(countRows(out, "b:1") == 1);
-  // One that leads no more changes nothing.
+  // A heartbeat of a leader of an earlier term is ignored.
   out.clear();
-  takeNodeHeartbeat(state, gossip, demand, leaderBeat("a", 1), Start, out);
+  handleNodeHeartbeat(state, gossip, demand, leaderHeartbeat("a", 1), Start,
+                      out);
   CHECK(state.Leader.Node == "b");
   CHECK(countRows(out, "a:1") == 0);
 }
