--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -359,21 +359,21 @@
               Message.table_update().content());
     break;
   case wire::Envelope::kRateShares:
-    takeShares(state, Message.rate_shares(), now);
+    applyRateShares(state, Message.rate_shares(), now);
     break;
   case wire::Envelope::kLoadForecast:
-    takeForecast(state, Message.load_forecast(), now);
+    applyForecast(state, Message.load_forecast(), now);
     HasChanged = true;
     break;
   case wire::Envelope::kModelWish:
     if (View.IsLeader)
-      takeWish(Leader, Message.from(), Message.model_wish().row(), now);
+      recordUnservedDemand(Leader, Message.from(), Message.model_wish().row(),
+                           now);
     break;
   case wire::Envelope::kQuotaWish:
     if (!View.IsLeader)
       break;
-    if (auto grant =
-            answerQuotaWish(Leader, state, Message.quota_wish(), now)) {
+    if (auto grant = grantQuota(Leader, state, Message.quota_wish(), now)) {
       wire::Envelope answer;
       *answer.mutable_quota_grant() = std::move(*grant);
       out.push_back({Message.reply_address(), std::move(answer)});
@@ -494,7 +494,7 @@
   Counts.set("group_leader", "", View.IsLeader ? 1 : 0);
   Counts.set("group_term", "", static_cast<double>(View.Term));
   if (View.IsLeader)
-    openLeader(Leader, View.Term, Clock::now());
+    startLeaderTerm(Leader, View.Term, Clock::now());
 }
 
 void FrontShell::send(NodeMessages Messages) {
@@ -504,7 +504,7 @@
 
 void FrontShell::wish(const wire::RowDemand &Row) {
   if (View.IsLeader) {
-    takeWish(Leader, Options.Node, Row, Clock::now());
+    recordUnservedDemand(Leader, Options.Node, Row, Clock::now());
     return;
   }
   wire::Envelope message;
@@ -520,7 +520,7 @@
     return;
   }
   TimePoint now = Clock::now();
-  if (auto grant = answerQuotaWish(Leader, Core.State, Wish, now))
+  if (auto grant = grantQuota(Leader, Core.State, Wish, now))
     takeQuotaGrant(Core.State, *grant, now);
   HasChanged = true;
 }
@@ -601,7 +601,7 @@
 void FrontShell::lead(TimePoint Now) {
   NodeMessages out;
   planPlacement(Leader, Core.State, Now, out);
-  tellForecasts(Leader, Core.State, Now, out);
+  sendForecasts(Leader, Core.State, Now, out);
   divideRates(Leader, Core.State, Now, out);
   send(std::move(out));
 }
@@ -643,7 +643,7 @@
        {"fronts", std::to_string(countFronts(Core.State, Now))},
        {"endpoints", std::to_string(Core.State.Directory.Endpoints.size())},
        {"callers", std::to_string(Counts.read("http_requests_total"))},
-       {"models", View.IsLeader ? describeModels(Leader, Core.State, Now)
+       {"models", View.IsLeader ? summarizeBusyModels(Leader, Core.State, Now)
                                 : std::string()},
        {"sent_bytes_by_kind", bytes}});
 }
--- a/front/leader_work.cpp
+++ b/front/leader_work.cpp
@@ -8,47 +8,57 @@
 
 namespace {
 
-/// A new leader learns the fronts' demand and the agents' reports first.
-constexpr Millis LearnSpan{200};
-/// Agents and engines tell a new leader within this what lies at each engine;
-/// one whose agent is gone is waited for no longer.
-constexpr Millis WeightsLearnSpan{2'500};
-/// Part of the store's allowed loads that is used; the rest covers loads that
-/// an earlier leader ordered.
-constexpr double StoreMargin = 0.75;
+/// A new leader collects the fronts' demand and the agents' reports for this
+/// long before it decides anything.
+constexpr Millis DemandLearningTime{200};
+/// Within this time agents and engines report to a new leader which weights
+/// each engine has. An engine that has not reported by then, for example
+/// because its agent is gone, is no longer waited for.
+constexpr Millis WeightsLearningTime{2'500};
+/// Fraction of the store's permitted load rate that is used; the rest covers
+/// loads that an earlier leader ordered.
+constexpr double StoreRateFraction = 0.75;
+/// Capacity of the token bucket that limits the rate of loads from the store.
 constexpr double StoreBurst = 2;
-/// An order that is not reported as over is given up after its load time and
-/// this much for unloads that wait for running requests.
+/// An order that is not reported as done is abandoned after its load time,
+/// times OrderLoadFactor, plus this allowance for unloads that wait for running
+/// requests.
 constexpr Millis OrderSlack{4'000};
-/// A load takes longer while others are under way.
+/// Allowance for concurrent loads, which slow one another.
 constexpr int OrderLoadFactor = 3;
-/// From a plan to the order at the engine, an unload before it, and back.
-constexpr Millis OrderWay{150};
-/// A model that was just loaded stays for this long: fronts hear of it, send
-/// what waits, and tell of it with their next heartbeat.
-constexpr Millis FreshSpan{800};
-/// A load that is late by more than this is waited for as if it began now.
-constexpr Millis LateLoad{500};
-/// A load from the store that should be over goes on for about this long: a
-/// part of its time for each other one.
-constexpr Millis OverdueStoreLoad{3'000};
-/// Orders of one term.
+/// Overhead of an order beside the load itself: delivery to the engine, an
+/// unload before the load, and the report back.
+constexpr Millis OrderLatency{150};
+/// A newly loaded model is not evicted for this long. In that time fronts learn
+/// of it, send the requests that wait for it, and report them with their next
+/// heartbeat.
+constexpr Millis EvictionProtectionTime{800};
+/// A load that is overdue by more than this is forecast as if it started now.
+constexpr Millis LateLoadTolerance{500};
+/// Least remaining time assumed for a load from the store. Such a load overruns
+/// its estimate by about this much, a fraction of its load time for each
+/// concurrent load.
+constexpr Millis OverdueStoreLoadTime{3'000};
+/// Low bits of an order number, which count the orders of one term. The bits
+/// above them hold the term.
 constexpr unsigned OrderTermShift = 24;
-/// Models in one log line.
-constexpr size_t MostDescribed = 6;
-/// A front's demand counts for this long after its last heartbeat.
-constexpr Millis DemandMemory{2'000};
+/// Models listed in one log line.
+constexpr size_t MaxSummarizedModels = 6;
+/// A front's demand is counted for this long after its last heartbeat.
+constexpr Millis DemandRetention{2'000};
 
 double secondsOf(Clock::duration Span) {
   return std::chrono::duration<double>(Span).count();
 }
 
-void refillStore(LeaderState &Leader, const EngineSpec &Spec, TimePoint Now) {
-  if (Leader.StoreTokensAt != TimePoint())
-    Leader.StoreTokens = std::min(
-        StoreBurst, Leader.StoreTokens + secondsOf(Now - Leader.StoreTokensAt) *
-                                             Spec.LoadsPerSecond * StoreMargin);
-  Leader.StoreTokensAt = Now;
+void refillStoreTokens(LeaderState &Leader, const EngineSpec &Spec,
+                       TimePoint Now) {
+  if (Leader.StoreTokensFilledAt != TimePoint())
+    Leader.StoreTokens =
+        std::min(StoreBurst, Leader.StoreTokens +
+                                 secondsOf(Now - Leader.StoreTokensFilledAt) *
+                                     Spec.LoadsPerSecond * StoreRateFraction);
+  Leader.StoreTokensFilledAt = Now;
 }
 
 std::map<std::string, ModelDemand> sumDemand(const LeaderState &Leader,
@@ -58,10 +68,10 @@
     out[model].WorthPerSecond =
         std::max(readRate(rates.ShortWorth, ShortSpan, Now),
                  readRate(rates.LongWorth, LongSpan, Now));
-  for (const auto &[front, part] : Leader.Demand.Fronts) {
-    if (Now - part.HeardAt > DemandMemory)
+  for (const auto &[front, report] : Leader.Demand.Fronts) {
+    if (Now - report.HeardAt > DemandRetention)
       continue;
-    for (const auto &[model, row] : part.Rows) {
+    for (const auto &[model, row] : report.Rows) {
       ModelDemand &demand = out[model];
       demand.Busy += row.busy();
       demand.Waiting += row.waiting();
@@ -71,30 +81,31 @@
   return out;
 }
 
-/// Requests under way by endpoint and model, over all fronts.
+/// Requests in progress by endpoint and model, summed over all fronts.
 std::map<std::string, std::map<std::string, uint32_t>>
 sumRunning(const LeaderState &Leader, TimePoint Now) {
   std::map<std::string, std::map<std::string, uint32_t>> out;
-  for (const auto &[front, part] : Leader.Demand.Fronts) {
-    if (Now - part.HeardAt > DemandMemory)
+  for (const auto &[front, report] : Leader.Demand.Fronts) {
+    if (Now - report.HeardAt > DemandRetention)
       continue;
-    for (const auto &[model, row] : part.Rows)
+    for (const auto &[model, row] : report.Rows)
       for (const wire::OpenRequests &it : row.open())
         out[it.endpoint()][model] += it.count();
   }
   return out;
 }
 
-bool isOver(const OpenOrder &Order, const EngineState &Engine, TimePoint Now) {
+bool isFinished(const PendingOrder &Order, const EngineState &Engine,
+                TimePoint Now) {
   return Engine.OrderDone >= Order.Number || isPast(Order.Expires, Now);
 }
 
-/// Forgets orders whose engine is gone: nothing will come of them, and they
-/// would hold what the weight store allows until they expire.
+/// Drops the orders whose engine is gone. They cannot complete, and until they
+/// expire they would count towards the loads that the weight store allows.
 void dropLostOrders(LeaderState &Leader, const FrontState &State,
                     TimePoint Now) {
   std::erase_if(Leader.Orders, [&](const auto &it) {
-    const OpenOrder &order = it.second;
+    const PendingOrder &order = it.second;
     auto known = State.Directory.Endpoints.find(order.Endpoint);
     auto holder = State.Directory.IdByAddress.find(it.first);
     bool isThere = known != State.Directory.Endpoints.end() &&
@@ -110,53 +121,55 @@
   });
 }
 
-/// An unload may wait long for running requests: the load counts from when the
-/// engine reports it under way.
-void noteProgress(LeaderState &Leader, OpenOrder &Order,
-                  const EngineState &Engine, Millis Load) {
+/// Updates the expected end of a load once it has started. An unload before it
+/// may wait long for running requests, so the load time is counted from the
+/// engine's first report that the load is in progress.
+void trackProgress(LeaderState &Leader, PendingOrder &Order,
+                   const EngineState &Engine, Millis Load) {
   bool isUnloaded = std::none_of(
       Order.Evict.begin(), Order.Evict.end(),
       [&](const std::string &it) { return Engine.Models.contains(it); });
-  if (Order.HasBegun || !isUnloaded || !Engine.IsBusy)
+  if (Order.HasStarted || !isUnloaded || !Engine.IsBusy)
     return;
-  Order.HasBegun = true;
-  Order.BegunAt = Engine.ReadAt;
+  Order.HasStarted = true;
+  Order.LoadStartedAt = Engine.ReadAt;
   if (Order.IsFromStore) {
-    Order.Together = 0;
+    Order.ConcurrentStoreLoads = 0;
     for (const auto &[address, it] : Leader.Orders)
-      Order.Together += it.IsFromStore && it.HasBegun;
-    Load = storeLoadTime(Leader.Pace, Order.Together, Load);
+      Order.ConcurrentStoreLoads += it.IsFromStore && it.HasStarted;
+    Load =
+        storeLoadTime(Leader.StoreEstimate, Order.ConcurrentStoreLoads, Load);
   }
   Order.ReadyAt = std::max(Order.ReadyAt, Engine.ReadAt + Load);
 }
 
-/// Learns from a load from the store that is over.
-void noteStoreTime(LeaderState &Leader, const OpenOrder &Order,
-                   const EngineState &Engine, const EngineSpec &Spec,
-                   TimePoint Now) {
+/// Updates the estimate of the store's concurrency from a finished load.
+void recordStoreLoadTime(LeaderState &Leader, const PendingOrder &Order,
+                         const EngineState &Engine, const EngineSpec &Spec,
+                         TimePoint Now) {
   auto spec = Spec.Models.find(Order.Model);
-  if (!Order.IsFromStore || !Order.HasBegun || spec == Spec.Models.end() ||
+  if (!Order.IsFromStore || !Order.HasStarted || spec == Spec.Models.end() ||
       !Engine.Models.contains(Order.Model))
     return;
   auto taken =
-      std::chrono::duration_cast<Millis>(Engine.ReadAt - Order.BegunAt);
-  size_t before = Leader.Pace.Places;
-  noteStoreLoad(Leader.Pace, Order.Together, spec->second.StoreLoad, taken,
-                Now);
+      std::chrono::duration_cast<Millis>(Engine.ReadAt - Order.LoadStartedAt);
+  size_t before = Leader.StoreEstimate.Places;
+  noteStoreLoad(Leader.StoreEstimate, Order.ConcurrentStoreLoads,
+                spec->second.StoreLoad, taken, Now);
   logEvent(LogLevel::Info, "store_load_done",
            {{"order", std::to_string(Order.Number)},
             {"model", Order.Model},
             {"taken_ms", std::to_string(taken.count())},
-            {"together", std::to_string(Order.Together)},
-            {"places", std::to_string(Leader.Pace.Places)},
+            {"together", std::to_string(Order.ConcurrentStoreLoads)},
+            {"places", std::to_string(Leader.StoreEstimate.Places)},
             {"before", std::to_string(before)}});
 }
 
-/// False while a new leader may not have heard of weights that lie near: then
-/// no model is taken for one that only the store has.
+/// False while a new leader may not know yet of weights that engines have in
+/// memory or on disk. Until then no model is assumed to be in the store only.
 bool areWeightsKnown(const LeaderState &Leader, const FrontState &State,
                      TimePoint Now) {
-  if (Now - Leader.LedSince >= WeightsLearnSpan)
+  if (Now - Leader.LeaderSince >= WeightsLearningTime)
     return true;
   if (!isPast(State.EndpointsKnownAt, Now))
     return false;
@@ -170,7 +183,8 @@
   });
 }
 
-bool isNearAt(const EngineState &Engine, const std::string &Model) {
+/// True when the engine has the weights of \p Model in memory or on disk.
+bool hasWeights(const EngineState &Engine, const std::string &Model) {
   return Engine.OnDisk.contains(Model) || Engine.InMemory.contains(Model);
 }
 
@@ -178,26 +192,27 @@
   return At > Now ? std::chrono::duration_cast<Millis>(At - Now) : Millis(0);
 }
 
-/// Until an engine under this order takes another one, as far as is known.
-Millis busyFor(const OpenOrder &Order, TimePoint Now) {
+/// Estimated time until an engine under this order can take another one.
+Millis timeUntilFree(const PendingOrder &Order, TimePoint Now) {
   Millis left = timeLeft(Order.ReadyAt, Now);
-  // The store serves loads that this leader does not know of.
-  return Order.IsFromStore ? std::max(left, OverdueStoreLoad) : left;
+  // The store may also be serving loads that this leader does not know of.
+  return Order.IsFromStore ? std::max(left, OverdueStoreLoadTime) : left;
 }
 
-/// Engines of \p Service as the plan sees them, with their addresses.
-struct EngineField {
+/// The engines of one service as input of the planning. Engines, Endpoints and
+/// States are parallel.
+struct EngineSurvey {
   std::vector<PlanEngine> Engines;
   std::vector<const KnownEndpoint *> Endpoints;
   std::vector<const EngineState *> States;
-  size_t LoadsUnderWay = 0;
-  size_t StoreLoadsUnderWay = 0;
+  size_t LoadsInProgress = 0;
+  size_t StoreLoadsInProgress = 0;
 };
 
-EngineField surveyEngines(LeaderState &Leader, const FrontState &State,
-                          const std::string &Service, const EngineSpec &Spec,
-                          TimePoint Now) {
-  EngineField out;
+EngineSurvey surveyEngines(LeaderState &Leader, const FrontState &State,
+                           const std::string &Service, const EngineSpec &Spec,
+                           TimePoint Now) {
+  EngineSurvey out;
   auto running = sumRunning(Leader, Now);
   for (const auto &[id, known] : State.Directory.Endpoints) {
     if (known.Service != Service || known.HasLeft)
@@ -217,45 +232,46 @@
       if (spec != Spec.Models.end())
         plan.ReservedMb += adapters.size() * spec->second.AdapterMb;
     }
-    auto runs = running.find(id);
-    if (runs != running.end())
-      plan.Running = runs->second;
+    auto runningHere = running.find(id);
+    if (runningHere != running.end())
+      plan.Running = runningHere->second;
     plan.InMemory = engine->InMemory;
     plan.OnDisk = engine->OnDisk;
     auto order = Leader.Orders.find(known.Address);
     if (order != Leader.Orders.end()) {
-      if (isOver(order->second, *engine, Now)) {
-        noteStoreTime(Leader, order->second, *engine, Spec, Now);
+      if (isFinished(order->second, *engine, Now)) {
+        recordStoreLoadTime(Leader, order->second, *engine, Spec, Now);
         if (engine->Models.contains(order->second.Model))
-          Leader.FreshUntil[{id, order->second.Model}] = Now + FreshSpan;
+          Leader.ProtectedUntil[{id, order->second.Model}] =
+              Now + EvictionProtectionTime;
         Leader.Orders.erase(order);
       } else {
         plan.CanOrder = false;
         plan.Loading = order->second.Model;
         auto spec = Spec.Models.find(plan.Loading);
         if (spec != Spec.Models.end())
-          noteProgress(Leader, order->second, *engine,
-                       loadTime(plan, spec->second));
+          trackProgress(Leader, order->second, *engine,
+                        loadTime(plan, spec->second));
         for (const std::string &it : order->second.Evict)
           plan.Models.erase(it);
-        plan.BusyFor = busyFor(order->second, Now);
-        ++out.LoadsUnderWay;
-        out.StoreLoadsUnderWay += order->second.IsFromStore;
+        plan.BusyFor = timeUntilFree(order->second, Now);
+        ++out.LoadsInProgress;
+        out.StoreLoadsInProgress += order->second.IsFromStore;
       }
     } else if (!engine->Loading.empty()) {
-      // Ordered by an earlier leader.
+      // A load that an earlier leader ordered.
       plan.CanOrder = false;
       plan.Loading = engine->Loading;
       auto spec = Spec.Models.find(plan.Loading);
       if (spec != Spec.Models.end())
         plan.BusyFor =
             timeLeft(engine->ReadAt + loadTime(plan, spec->second), Now);
-      ++out.LoadsUnderWay;
-      out.StoreLoadsUnderWay += !isNearAt(*engine, engine->Loading);
+      ++out.LoadsInProgress;
+      out.StoreLoadsInProgress += !hasWeights(*engine, engine->Loading);
     }
     for (const std::string &it : plan.Models)
-      if (auto fresh = Leader.FreshUntil.find({id, it});
-          fresh != Leader.FreshUntil.end())
+      if (auto protection = Leader.ProtectedUntil.find({id, it});
+          protection != Leader.ProtectedUntil.end())
         plan.Fresh.insert(it);
     out.Engines.push_back(std::move(plan));
     out.Endpoints.push_back(&known);
@@ -264,33 +280,35 @@
   return out;
 }
 
-void giveOrder(LeaderState &Leader, const EngineField &Field,
+void sendOrder(LeaderState &Leader, const EngineSurvey &Survey,
                const EngineSpec &Spec, const PlannedLoad &Load, TimePoint Now,
                NodeMessages &Out) {
-  const KnownEndpoint &target = *Field.Endpoints[Load.Engine];
+  const KnownEndpoint &target = *Survey.Endpoints[Load.Engine];
   const ModelSpec &model = Spec.Models.at(Load.Model);
-  Millis life = loadTime(Field.Engines[Load.Engine], model) * OrderLoadFactor +
-                OrderSlack;
-  OpenOrder order;
-  order.Number = Leader.NextOrder++;
+  Millis lifetime =
+      loadTime(Survey.Engines[Load.Engine], model) * OrderLoadFactor +
+      OrderSlack;
+  PendingOrder order;
+  order.Number = Leader.NextOrderNumber++;
   order.Endpoint = target.Id;
   order.Model = Load.Model;
   order.Evict = Load.Evict;
   order.IsFromStore = Load.IsFromStore;
-  order.ReadyAt = Now + OrderWay + loadTime(Field.Engines[Load.Engine], model);
-  order.Expires = Now + life;
+  order.ReadyAt =
+      Now + OrderLatency + loadTime(Survey.Engines[Load.Engine], model);
+  order.Expires = Now + lifetime;
   wire::Envelope message;
-  wire::EngineOrder &wire = *message.mutable_engine_order();
-  wire.set_term(Leader.Term);
-  wire.set_number(order.Number);
-  wire.set_engine_address(target.Address);
-  wire.set_endpoint(target.Id);
-  wire.set_load(Load.Model);
-  wire.set_may_use_store(Load.IsFromStore);
+  wire::EngineOrder &wireOrder = *message.mutable_engine_order();
+  wireOrder.set_term(Leader.Term);
+  wireOrder.set_number(order.Number);
+  wireOrder.set_engine_address(target.Address);
+  wireOrder.set_endpoint(target.Id);
+  wireOrder.set_load(Load.Model);
+  wireOrder.set_may_use_store(Load.IsFromStore);
   for (const std::string &it : Load.Evict)
-    wire.add_evict(it);
-  *wire.mutable_sizes() = sizesFor(Spec);
-  wire.set_expires_in_ms(static_cast<uint64_t>(life.count()));
+    wireOrder.add_evict(it);
+  *wireOrder.mutable_sizes() = sizesFor(Spec);
+  wireOrder.set_expires_in_ms(static_cast<uint64_t>(lifetime.count()));
   std::string evicted;
   for (const std::string &it : Load.Evict)
     evicted += (evicted.empty() ? "" : ",") + it;
@@ -302,77 +320,77 @@
             {"urgent", Load.IsUrgent ? "yes" : "no"},
             {"from_store", Load.IsFromStore ? "yes" : "no"},
             {"report_age_ms", std::to_string(toMillis(
-                                  Now - Field.States[Load.Engine]->ReadAt))}});
-  Out.push_back({Field.States[Load.Engine]->Agent, std::move(message)});
+                                  Now - Survey.States[Load.Engine]->ReadAt))}});
+  Out.push_back({Survey.States[Load.Engine]->Agent, std::move(message)});
   Leader.Orders[target.Address] = std::move(order);
 }
 
 } // namespace
 
-void openLeader(LeaderState &Leader, uint64_t Term, TimePoint Now) {
+void startLeaderTerm(LeaderState &Leader, uint64_t Term, TimePoint Now) {
   if (Leader.Term == Term)
     return;
   Leader.Term = Term;
-  Leader.LedSince = Now;
+  Leader.LeaderSince = Now;
   Leader.Orders.clear();
-  Leader.FreshUntil.clear();
+  Leader.ProtectedUntil.clear();
   Leader.Pools.clear();
-  // Numbers of an earlier term are all lower.
-  Leader.NextOrder = (Term << OrderTermShift) + 1;
-  Leader.NextShares = 1;
+  // Higher than all order numbers of earlier terms.
+  Leader.NextOrderNumber = (Term << OrderTermShift) + 1;
+  Leader.NextSharesNumber = 1;
   Leader.StoreTokens = 0;
-  Leader.StoreTokensAt = Now;
+  Leader.StoreTokensFilledAt = Now;
 }
 
-void takeWish(LeaderState &Leader, const std::string &Front,
-              const wire::RowDemand &Row, TimePoint Now) {
-  FleetDemand::FrontReport &part = Leader.Demand.Fronts[Front];
-  part.HeardAt = Now;
-  part.Rows[Row.model()] = Row;
-  Leader.NextPlan = Now;
+void recordUnservedDemand(LeaderState &Leader, const std::string &Front,
+                          const wire::RowDemand &Row, TimePoint Now) {
+  FleetDemand::FrontReport &report = Leader.Demand.Fronts[Front];
+  report.HeardAt = Now;
+  report.Rows[Row.model()] = Row;
+  Leader.NextPlanAt = Now;
 }
 
 void planPlacement(LeaderState &Leader, FrontState &State, TimePoint Now,
                    NodeMessages &Out) {
-  if (!isPast(Leader.NextPlan, Now) || Now - Leader.LedSince < LearnSpan ||
-      !State.Table)
+  if (!isPast(Leader.NextPlanAt, Now) ||
+      Now - Leader.LeaderSince < DemandLearningTime || !State.Table)
     return;
-  Leader.NextPlan = Now + PlanPeriod;
+  Leader.NextPlanAt = Now + PlanPeriod;
   auto demand = sumDemand(Leader, Now);
   dropLostOrders(Leader, State, Now);
-  std::erase_if(Leader.FreshUntil,
+  std::erase_if(Leader.ProtectedUntil,
                 [&](const auto &it) { return isPast(it.second, Now); });
   bool mayUseStore = areWeightsKnown(Leader, State, Now);
   for (const auto &[name, service] : State.Table->Services) {
     if (!service.Engine)
       continue;
     const EngineSpec &spec = *service.Engine;
-    refillStore(Leader, spec, Now);
-    EngineField field = surveyEngines(Leader, State, name, spec, Now);
+    refillStoreTokens(Leader, spec, Now);
+    EngineSurvey survey = surveyEngines(Leader, State, name, spec, Now);
     PlanInput input{spec,
                     demand,
-                    field.Engines,
-                    field.LoadsUnderWay,
-                    field.StoreLoadsUnderWay,
+                    survey.Engines,
+                    survey.LoadsInProgress,
+                    survey.StoreLoadsInProgress,
                     mayUseStore ? static_cast<uint32_t>(Leader.StoreTokens) : 0,
-                    Leader.Pace.Places};
+                    Leader.StoreEstimate.Places};
     for (const PlannedLoad &it : planModels(input)) {
       if (it.IsFromStore)
         Leader.StoreTokens -= 1;
-      giveOrder(Leader, field, spec, it, Now, Out);
+      sendOrder(Leader, survey, spec, it, Now, Out);
     }
   }
 }
 
 void divideRates(LeaderState &Leader, FrontState &State, TimePoint Now,
                  NodeMessages &Out) {
-  if (!isPast(Leader.NextShare, Now) || !State.Table ||
-      Now - Leader.LedSince < LearnSpan)
+  if (!isPast(Leader.NextSharesAt, Now) || !State.Table ||
+      Now - Leader.LeaderSince < DemandLearningTime)
     return;
-  Leader.NextShare = Now + SharePeriod;
+  Leader.NextSharesAt = Now + SharePeriod;
   std::vector<std::string> fronts{State.Self.name()};
   for (const auto &[name, it] : State.Roster.Nodes)
-    // One out of view may still use the share that it was given.
+    // A front that is out of view may still be using its last share.
     if (it.Entry.kind() == wire::NODE_FRONT &&
         Now - it.HeardAt < NodeSilence + ShareLife)
       fronts.push_back(name);
@@ -381,9 +399,9 @@
     if (organisation.RatePerSecond <= 0)
       continue;
     FrontDemand demand;
-    for (const auto &[front, part] : Leader.Demand.Fronts) {
-      auto it = part.Organisations.find(organisation.Name);
-      if (it != part.Organisations.end())
+    for (const auto &[front, report] : Leader.Demand.Fronts) {
+      auto it = report.Organisations.find(organisation.Name);
+      if (it != report.Organisations.end())
         demand[front] = it->second;
     }
     for (const auto &[front, share] :
@@ -393,12 +411,12 @@
       out.set_share(share);
     }
   }
-  uint64_t number = Leader.NextShares++;
+  uint64_t number = Leader.NextSharesNumber++;
   for (auto &[front, it] : shares) {
     it.set_term(Leader.Term);
     it.set_number(number);
     if (front == State.Self.name()) {
-      takeShares(State, it, Now);
+      applyRateShares(State, it, Now);
       continue;
     }
     wire::Envelope message;
@@ -410,13 +428,14 @@
 
 namespace {
 
-/// Tokens a second that all fronts together were asked for.
-double demandOf(const FleetDemand &Demand, const std::string &Organisation,
-                TimePoint Now) {
+/// Demand of the organisation over all fronts, in tokens per second.
+double totalDemandOf(const FleetDemand &Demand, const std::string &Organisation,
+                     TimePoint Now) {
   double sum = 0;
-  for (const auto &[front, part] : Demand.Fronts) {
-    auto it = part.Organisations.find(Organisation);
-    if (it != part.Organisations.end() && Now - part.HeardAt < DemandMemory)
+  for (const auto &[front, report] : Demand.Fronts) {
+    auto it = report.Organisations.find(Organisation);
+    if (it != report.Organisations.end() &&
+        Now - report.HeardAt < DemandRetention)
       sum += it->second;
   }
   return sum;
@@ -424,67 +443,72 @@
 
 } // namespace
 
-std::optional<wire::QuotaGrant> answerQuotaWish(LeaderState &Leader,
-                                                const FrontState &State,
-                                                const wire::QuotaWish &Wish,
-                                                TimePoint Now) {
-  // Written so that what is not a number is refused as well.
-  bool isSound = Wish.least() >= 0 && Wish.wanted() >= Wish.least();
-  if (!State.Table || !isSound)
+std::optional<wire::QuotaGrant> grantQuota(LeaderState &Leader,
+                                           const FrontState &State,
+                                           const wire::QuotaWish &Request,
+                                           TimePoint Now) {
+  // The comparisons are written such that NaN is rejected as well.
+  bool isValid = Request.least() >= 0 && Request.wanted() >= Request.least();
+  if (!State.Table || !isValid)
     return std::nullopt;
   const auto &organisations = State.Table->Organisations;
   auto found = std::find_if(
       organisations.begin(), organisations.end(),
-      [&](const auto &it) { return it.Name == Wish.organisation(); });
+      [&](const auto &it) { return it.Name == Request.organisation(); });
   if (found == organisations.end() || found->RatePerSecond <= 0)
     return std::nullopt;
-  bool isBeyond =
-      demandOf(Leader.Demand, found->Name, Now) > found->RatePerSecond;
+  bool isOverRate =
+      totalDemandOf(Leader.Demand, found->Name, Now) > found->RatePerSecond;
   PoolAnswer answer =
       drawFromPool(Leader.Pools[found->Name], limitOf(State, *found, Now),
-                   {Wish.wanted(), Wish.least(), Wish.is_favoured()}, isBeyond,
-                   Leader.LedSince, Now);
+                   {Request.wanted(), Request.least(), Request.is_favoured()},
+                   isOverRate, Leader.LeaderSince, Now);
   wire::QuotaGrant out;
   out.set_term(Leader.Term);
   out.set_organisation(found->Name);
   out.set_granted(answer.Granted);
   out.set_wait_ms(static_cast<uint64_t>(answer.Wait.count()));
-  out.set_is_favoured(Wish.is_favoured());
+  out.set_is_favoured(Request.is_favoured());
   return out;
 }
 
 namespace {
 
-/// Time until a model that lies on no engine is there: behind those that are
-/// worth more, a few at a time.
-Millis storeQueueTime(const LeaderState &Leader, const ModelSpec &Spec,
-                      size_t StoreAhead) {
-  size_t queued = StoreAhead;
+/// Time until a model that no engine has is loaded from the store, behind the
+/// loads already ordered and \p QueuedAhead models of higher worth, with as
+/// many concurrent loads as the store is estimated to serve.
+Millis timeToLoadFromStore(const LeaderState &Leader, const ModelSpec &Spec,
+                           size_t QueuedAhead) {
+  size_t queued = QueuedAhead;
   for (const auto &[address, order] : Leader.Orders)
     queued += order.IsFromStore;
-  return OrderWay +
-         Spec.StoreLoad * static_cast<int64_t>(queued / Leader.Pace.Places + 1);
+  return OrderLatency +
+         Spec.StoreLoad *
+             static_cast<int64_t>(queued / Leader.StoreEstimate.Places + 1);
 }
 
-/// Time until an engine that has the weights of \p Model may be ordered to load
-/// it; nothing where none has them.
-std::optional<Millis> timeToNear(const LeaderState &Leader,
-                                 const FrontState &State,
-                                 const std::string &Model, TimePoint Now) {
+/// Time until an engine that has the weights of \p Model can take an order to
+/// load it, or nothing when no engine has them.
+std::optional<Millis> timeToEngineWithWeights(const LeaderState &Leader,
+                                              const FrontState &State,
+                                              const std::string &Model,
+                                              TimePoint Now) {
   std::optional<Millis> best;
   for (const auto &[id, known] : State.Directory.Endpoints) {
     const EngineState *engine = engineOf(State.Directory, known);
-    if (!engine || !isUsable(known, Now) || !isNearAt(*engine, Model))
+    if (!engine || !isUsable(known, Now) || !hasWeights(*engine, Model))
       continue;
     auto order = Leader.Orders.find(known.Address);
-    Millis wait =
-        order == Leader.Orders.end() ? Millis(0) : busyFor(order->second, Now);
+    Millis wait = order == Leader.Orders.end()
+                      ? Millis(0)
+                      : timeUntilFree(order->second, Now);
     best = best ? std::min(*best, wait) : wait;
   }
   return best;
 }
 
-const ModelSpec *findSpec(const FrontState &State, const std::string &Model) {
+const ModelSpec *findModelSpec(const FrontState &State,
+                               const std::string &Model) {
   if (!State.Table)
     return nullptr;
   for (const auto &[name, service] : State.Table->Services)
@@ -498,32 +522,33 @@
 
 using ReadyTimes = std::map<std::string, TimePoint>;
 
-/// When models that are on their way will be there, at the earliest.
-ReadyTimes listUnderWay(const LeaderState &Leader, const FrontState &State,
-                        TimePoint Now) {
+/// Earliest expected end of the loads in progress, by model.
+ReadyTimes listLoadsInProgress(const LeaderState &Leader,
+                               const FrontState &State, TimePoint Now) {
   ReadyTimes out;
-  auto note = [&](const std::string &Model, TimePoint At) {
+  auto record = [&](const std::string &Model, TimePoint At) {
     auto [it, isNew] = out.emplace(Model, At);
     it->second = std::min(it->second, At);
   };
   for (const auto &[address, order] : Leader.Orders)
-    note(order.Model, order.ReadyAt);
+    record(order.Model, order.ReadyAt);
   for (const auto &[id, known] : State.Directory.Endpoints) {
     const EngineState *engine = engineOf(State.Directory, known);
     const ModelSpec *spec = engine && isServing(known, Now)
-                                ? findSpec(State, engine->Loading)
+                                ? findModelSpec(State, engine->Loading)
                                 : nullptr;
     if (!spec || Leader.Orders.contains(known.Address))
       continue;
-    // An earlier leader's order: it began before the report that tells of it.
-    bool isNear = isNearAt(*engine, spec->Name);
-    note(spec->Name,
-         engine->ReadAt + (isNear ? spec->DiskLoad : spec->StoreLoad));
+    // Ordered by an earlier leader. The load started before the report that
+    // names it, so this is an upper bound.
+    bool isLocal = hasWeights(*engine, spec->Name);
+    record(spec->Name,
+           engine->ReadAt + (isLocal ? spec->DiskLoad : spec->StoreLoad));
   }
   return out;
 }
 
-/// Time until each model that somebody waits for is there.
+/// Expected time until each model with waiting requests is loaded.
 std::map<std::string, Millis> forecastLoads(const LeaderState &Leader,
                                             const FrontState &State,
                                             TimePoint Now) {
@@ -532,43 +557,45 @@
     if (demand.Waiting > 0)
       wanted.emplace_back(demand.WaitingWorth, model);
   std::sort(wanted.rbegin(), wanted.rend());
-  ReadyTimes underWay = listUnderWay(Leader, State, Now);
-  bool isKnown = areWeightsKnown(Leader, State, Now);
+  ReadyTimes inProgress = listLoadsInProgress(Leader, State, Now);
+  bool areAllKnown = areWeightsKnown(Leader, State, Now);
   std::map<std::string, Millis> out;
-  size_t storeAhead = 0;
+  size_t queuedAhead = 0;
   for (const auto &[worth, model] : wanted) {
-    const ModelSpec *spec = findSpec(State, model);
+    const ModelSpec *spec = findModelSpec(State, model);
     if (!spec)
       continue;
-    auto order = underWay.find(model);
-    if (order != underWay.end() && order->second + LateLoad > Now) {
+    auto order = inProgress.find(model);
+    if (order != inProgress.end() && order->second + LateLoadTolerance > Now) {
       out[model] = Millis(toMillis(order->second - Now));
       continue;
     }
-    auto near = timeToNear(Leader, State, model, Now);
-    if (!near && !isKnown)
-      near = Millis(0);
-    Millis store = storeQueueTime(Leader, *spec, storeAhead);
+    auto engineWait = timeToEngineWithWeights(Leader, State, model, Now);
+    if (!engineWait && !areAllKnown)
+      engineWait = Millis(0);
+    Millis store = timeToLoadFromStore(Leader, *spec, queuedAhead);
     out[model] =
-        near ? std::min(OrderWay + *near + spec->DiskLoad, store) : store;
-    storeAhead += !near;
+        engineWait
+            ? std::min(OrderLatency + *engineWait + spec->DiskLoad, store)
+            : store;
+    queuedAhead += !engineWait;
   }
   return out;
 }
 
 } // namespace
 
-void tellForecasts(LeaderState &Leader, FrontState &State, TimePoint Now,
+void sendForecasts(LeaderState &Leader, FrontState &State, TimePoint Now,
                    NodeMessages &Out) {
-  if (!isPast(Leader.NextForecast, Now))
+  if (!isPast(Leader.NextForecastAt, Now))
     return;
-  Leader.NextForecast = Now + ForecastPeriod;
+  Leader.NextForecastAt = Now + ForecastPeriod;
   auto loads = forecastLoads(Leader, State, Now);
-  for (const auto &[front, part] : Leader.Demand.Fronts) {
+  for (const auto &[front, report] : Leader.Demand.Fronts) {
     wire::Envelope message;
     wire::LoadForecast &forecast = *message.mutable_load_forecast();
     forecast.set_term(Leader.Term);
-    for (const auto &[model, row] : part.Rows) {
+    for (const auto &[model, row] : report.Rows) {
       auto load = loads.find(model);
       if (row.waiting() == 0 || load == loads.end())
         continue;
@@ -580,14 +607,14 @@
       continue;
     auto node = State.Roster.Nodes.find(front);
     if (front == State.Self.name())
-      takeForecast(State, forecast, Now);
+      applyForecast(State, forecast, Now);
     else if (node != State.Roster.Nodes.end())
       Out.push_back({node->second.Entry.address(), std::move(message)});
   }
 }
 
-void takeForecast(FrontState &State, const wire::LoadForecast &Forecast,
-                  TimePoint Now) {
+void applyForecast(FrontState &State, const wire::LoadForecast &Forecast,
+                   TimePoint Now) {
   if (Forecast.term() < State.Leader.Term)
     return;
   for (const wire::ModelForecast &it : Forecast.models()) {
@@ -597,8 +624,8 @@
   }
 }
 
-std::string describeModels(const LeaderState &Leader, const FrontState &State,
-                           TimePoint Now) {
+std::string summarizeBusyModels(const LeaderState &Leader,
+                                const FrontState &State, TimePoint Now) {
   std::map<std::string, size_t> replicas;
   for (const auto &[id, known] : State.Directory.Endpoints) {
     const EngineState *engine = engineOf(State.Directory, known);
@@ -612,7 +639,7 @@
     if (demand.Busy > 0)
       busiest.emplace_back(demand.Busy, model);
   std::sort(busiest.rbegin(), busiest.rend());
-  busiest.resize(std::min(busiest.size(), MostDescribed));
+  busiest.resize(std::min(busiest.size(), MaxSummarizedModels));
   std::string out;
   for (const auto &[busy, model] : busiest)
     out += (out.empty() ? "" : ";") + model + ":" +
@@ -621,8 +648,8 @@
   return out;
 }
 
-void takeShares(FrontState &State, const wire::RateShares &Shares,
-                TimePoint Now) {
+void applyRateShares(FrontState &State, const wire::RateShares &Shares,
+                     TimePoint Now) {
   bool isOld = Shares.term() < State.SharesTerm ||
                (Shares.term() == State.SharesTerm &&
                 Shares.number() <= State.SharesNumber);
--- a/front/leader_work.h
+++ b/front/leader_work.h
@@ -1,5 +1,5 @@
 /// \file
-/// What only the leader of the serving table's group decides: which engine
+/// Decisions made only by the leader of the serving table's group: which engine
 /// loads which model, and how each organisation's rate is divided.
 #ifndef SASSAFRAS_FRONT_LEADER_WORK_H
 #define SASSAFRAS_FRONT_LEADER_WORK_H
@@ -10,74 +10,81 @@
 
 namespace sassafras {
 
-/// Placement is thought over at this pace, and at once when a front tells of
-/// a cold model.
+/// Interval of placement planning. It also runs at once when a front reports
+/// demand for a model that it cannot serve.
 inline constexpr Millis PlanPeriod{100};
 inline constexpr Millis SharePeriod{300};
 inline constexpr Millis ForecastPeriod{150};
 
-/// An order that an agent has not reported as over.
-struct OpenOrder {
+/// An order that its agent has not reported as done.
+struct PendingOrder {
   uint64_t Number = 0;
   std::string Endpoint;
   std::string Model;
-  std::vector<std::string> Evict;
+  std::vector<std::string> Evict; ///< Models to unload first.
   bool IsFromStore = false;
-  bool HasBegun = false; ///< What it evicts is gone; the load is under way.
-  TimePoint BegunAt;
-  size_t Together = 0; ///< Loads from the store under way then, itself too.
-  TimePoint ReadyAt;   ///< As far as it can be told.
+  bool HasStarted = false; ///< The evictions are done and the load runs.
+  TimePoint LoadStartedAt;
+  /// Loads from the store in progress when this one started, itself included.
+  size_t ConcurrentStoreLoads = 0;
+  TimePoint ReadyAt; ///< Estimated.
   TimePoint Expires;
 };
 
 struct LeaderState {
-  uint64_t Term = 0; ///< For which this was set up.
-  TimePoint LedSince;
+  uint64_t Term = 0; ///< Term that this state belongs to.
+  TimePoint LeaderSince;
   FleetDemand Demand;
-  std::map<std::string, QuotaPool> Pools;  ///< By organisation.
-  std::map<std::string, OpenOrder> Orders; ///< By engine address.
-  /// Until when a model that was just loaded stays, by engine and model.
-  std::map<std::pair<std::string, std::string>, TimePoint> FreshUntil;
-  uint64_t NextOrder = 1;
-  uint64_t NextShares = 1;
-  StorePace Pace;
-  double StoreTokens = 0; ///< Loads from the store that may start.
-  TimePoint StoreTokensAt;
-  TimePoint NextPlan;
-  TimePoint NextForecast;
-  TimePoint NextShare;
+  std::map<std::string, QuotaPool> Pools;     ///< By organisation.
+  std::map<std::string, PendingOrder> Orders; ///< By engine address.
+  /// Until when a newly loaded model is not evicted, by engine and model.
+  std::map<std::pair<std::string, std::string>, TimePoint> ProtectedUntil;
+  uint64_t NextOrderNumber = 1;
+  uint64_t NextSharesNumber = 1;
+  StorePace StoreEstimate;
+  double StoreTokens = 0; ///< Loads from the store that may start now.
+  TimePoint StoreTokensFilledAt;
+  TimePoint NextPlanAt;
+  TimePoint NextForecastAt;
+  TimePoint NextSharesAt;
 };
 
-/// Starts over for a new term. A leader that regains its lease within a term
-/// goes on with the numbers of its orders: agents take rising ones only.
-void openLeader(LeaderState &Leader, uint64_t Term, TimePoint Now);
-/// A front cannot serve a model; it is planned for at once.
-void takeWish(LeaderState &Leader, const std::string &Front,
-              const wire::RowDemand &Row, TimePoint Now);
-/// Thinks placement over where it is time to, and sends orders.
+/// Resets the state for a new term. A leader that regains its lease within a
+/// term keeps its state and its order numbers, as agents accept increasing
+/// numbers only.
+void startLeaderTerm(LeaderState &Leader, uint64_t Term, TimePoint Now);
+/// Records demand for a model that \p Front cannot serve, and makes the next
+/// planPlacement run at once.
+void recordUnservedDemand(LeaderState &Leader, const std::string &Front,
+                          const wire::RowDemand &Row, TimePoint Now);
+/// Plans placement when due, and appends the resulting orders to \p Out.
 void planPlacement(LeaderState &Leader, FrontState &State, TimePoint Now,
                    NodeMessages &Out);
-/// Divides the rates where it is time to, and tells the fronts.
+/// Divides the organisations' rates over the fronts when due, and appends the
+/// shares to \p Out. This front's share is applied directly.
 void divideRates(LeaderState &Leader, FrontState &State, TimePoint Now,
                  NodeMessages &Out);
-/// Answers a front that is short of tokens, this one included. Nothing for an
-/// organisation that the table does not know, or that has no limit.
-std::optional<wire::QuotaGrant> answerQuotaWish(LeaderState &Leader,
-                                                const FrontState &State,
-                                                const wire::QuotaWish &Wish,
-                                                TimePoint Now);
-/// Busiest models as name:requests/replicas, for the log.
-std::string describeModels(const LeaderState &Leader, const FrontState &State,
-                           TimePoint Now);
-/// Tells each front when the models that its requests wait for will be there.
-void tellForecasts(LeaderState &Leader, FrontState &State, TimePoint Now,
+/// Answers a request for tokens of a front, this one included. Returns nothing
+/// for an organisation that is not in the table or has no limit, and for a
+/// request with invalid amounts.
+std::optional<wire::QuotaGrant> grantQuota(LeaderState &Leader,
+                                           const FrontState &State,
+                                           const wire::QuotaWish &Request,
+                                           TimePoint Now);
+/// The busiest models as "name:requests/replicas", separated by semicolons, for
+/// the log.
+std::string summarizeBusyModels(const LeaderState &Leader,
+                                const FrontState &State, TimePoint Now);
+/// When due, sends each front the times at which the models that its requests
+/// wait for are expected to be loaded.
+void sendForecasts(LeaderState &Leader, FrontState &State, TimePoint Now,
                    NodeMessages &Out);
-/// Takes what the leader plans. One of an earlier term changes nothing.
-void takeForecast(FrontState &State, const wire::LoadForecast &Forecast,
-                  TimePoint Now);
-/// Takes the shares that a leader gave. Late ones change nothing.
-void takeShares(FrontState &State, const wire::RateShares &Shares,
-                TimePoint Now);
+/// Applies a leader's forecast. One of an earlier term is ignored.
+void applyForecast(FrontState &State, const wire::LoadForecast &Forecast,
+                   TimePoint Now);
+/// Applies the rate shares from a leader. Outdated ones are ignored.
+void applyRateShares(FrontState &State, const wire::RateShares &Shares,
+                     TimePoint Now);
 
 } // namespace sassafras
 
--- a/tests/front/test_leader_work.cpp
+++ b/tests/front/test_leader_work.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// What the leader tells fronts of the models that it has loaded, and how it
-/// answers wishes for tokens.
+/// The leader's planning of loads, its forecasts of them, and its grants of
+/// tokens.
 #include "front/leader_work.h"
 
 #include <catch2/catch.hpp>
@@ -17,12 +17,13 @@
 constexpr const char *EngineAddress = "10.0.0.1:7";
 constexpr Millis StoreLoad{6'000};
 
-/// One engine that holds "old" and shall load "new" from the store.
-struct Led {
+/// A leader with one engine that has "old" loaded and an order to replace it by
+/// "new" from the store.
+struct LeaderFixture {
   FrontState State;
   LeaderState Leader;
 
-  Led() {
+  LeaderFixture() {
     auto table = std::make_shared<ServingTable>();
     table->Version = 1;
     EngineSpec spec;
@@ -47,9 +48,9 @@
     indexServingTable(*table);
     State.Table = table;
     State.Self.set_name("front");
-    openLeader(Leader, 2, Start);
-    sight("old", false, Start);
-    OpenOrder order;
+    startLeaderTerm(Leader, 2, Start);
+    reportEngine("old", false, Start);
+    PendingOrder order;
     order.Number = 1;
     order.Endpoint = "i-1";
     order.Model = "new";
@@ -60,10 +61,10 @@
     Leader.Orders[EngineAddress] = order;
   }
 
-  /// The engine reports what it holds.
-  void sight(const std::string &Model, bool IsBusy, TimePoint Now,
-             const std::string &Id = "i-1",
-             const std::string &Address = EngineAddress) {
+  /// Applies an announcement of the engine and a report of its agent.
+  void reportEngine(const std::string &Model, bool IsBusy, TimePoint Now,
+                    const std::string &Id = "i-1",
+                    const std::string &Address = EngineAddress) {
     wire::EndpointSighting it;
     it.set_id(Id);
     it.set_service("chat");
@@ -89,167 +90,169 @@
     applyReport(State.Directory, report, Now);
   }
 
-  /// When the front believes that "new" will be there, with callers waiting.
+  /// Time at which the front expects "new" to be loaded, with one request
+  /// waiting for it.
   TimePoint readyAt(TimePoint Now, double Worth = 1) {
     wire::RowDemand row;
     row.set_model("new");
     row.set_waiting(1);
     row.set_waiting_worth(Worth);
-    takeWish(Leader, "front", row, Now);
+    recordUnservedDemand(Leader, "front", row, Now);
     NodeMessages out;
     planPlacement(Leader, State, Now, out);
-    Leader.NextForecast = Now;
-    tellForecasts(Leader, State, Now, out);
+    Leader.NextForecastAt = Now;
+    sendForecasts(Leader, State, Now, out);
     return State.Rows["new"].ReadyAt;
   }
 
   uint64_t Sequence = 0;
-  std::string Loading; ///< By the engine's agent.
+  std::string Loading; ///< As reported by the engine's agent.
   uint64_t OrderDone = 0;
   std::vector<std::string> OnDisk;
 };
 
 } // namespace
 
-// Everything had lost power. The new leader had not heard yet what lies on the
-// engines' disks: it took 10 of 60 models for ones that only the store has,
-// told their callers to go away, and loaded three from the store that lay on a
-// disk.
-TEST_CASE("new leader takes no model for one of the store before it knows") {
-  Led led;
-  led.Leader.Orders.clear();
-  wire::EndpointSighting silent;
-  silent.set_id("i-2");
-  silent.set_service("chat");
-  silent.set_address("10.0.0.2:7");
-  silent.set_born_ms(1);
-  silent.set_sequence(1);
-  applySighting(led.State.Directory, silent, Start);
+// After a power loss of the whole fleet, a new leader planned before it had the
+// engines' reports of what is on their disks. It assumed 10 of 60 models to be
+// in the store only: their callers were refused, and three models that were on
+// a disk were loaded from the store.
+TEST_CASE("new leader does not plan loads from the store before engines have "
+          "reported their weights") {
+  LeaderFixture fixture;
+  fixture.Leader.Orders.clear();
+  wire::EndpointSighting unreported;
+  unreported.set_id("i-2");
+  unreported.set_service("chat");
+  unreported.set_address("10.0.0.2:7");
+  unreported.set_born_ms(1);
+  unreported.set_sequence(1);
+  applySighting(fixture.State.Directory, unreported, Start);
   TimePoint now = Start + Millis(300);
-  CHECK(led.readyAt(now, 10) <= now + Millis(1'000));
-  CHECK(led.Leader.Orders.empty());
-  // The engine that said nothing of its weights is not waited for for ever.
+  CHECK(fixture.readyAt(now, 10) <= now + Millis(1'000));
+  CHECK(fixture.Leader.Orders.empty());
+  // The wait for an engine that does not report its weights is bounded.
   now = Start + Millis(2'600);
-  led.sight("old", false, now);
-  addTo(led.Leader.Demand.Rates["new"].ShortWorth, 50, ShortSpan, now);
-  CHECK(led.readyAt(now, 10) >= now + StoreLoad);
-  CHECK(led.Leader.Orders.size() == 1);
+  fixture.reportEngine("old", false, now);
+  addTo(fixture.Leader.Demand.Rates["new"].ShortWorth, 50, ShortSpan, now);
+  CHECK(fixture.readyAt(now, 10) >= now + StoreLoad);
+  CHECK(fixture.Leader.Orders.size() == 1);
 }
 
-// An unload waited 2.4 s for a running request; the load from the store that
-// followed was forecast anew from every moment after it, and its callers were
-// refused two seconds before it was over.
-TEST_CASE("load that began late is forecast from when it began") {
-  Led test;
+// An unload waited 2.4 s for a running request. Each later forecast of the load
+// from the store that followed counted the whole load time again, and its
+// callers were refused two seconds before it was done.
+TEST_CASE("load that started late is forecast from its actual start") {
+  LeaderFixture fixture;
   TimePoint begun = Start + Millis(2'400);
-  test.sight("", true, begun);
-  CHECK(test.readyAt(begun) == begun + StoreLoad);
+  fixture.reportEngine("", true, begun);
+  CHECK(fixture.readyAt(begun) == begun + StoreLoad);
   TimePoint later = Start + Millis(7'000);
-  test.sight("", true, later);
-  CHECK(test.readyAt(later) == begun + StoreLoad);
+  fixture.reportEngine("", true, later);
+  CHECK(fixture.readyAt(later) == begun + StoreLoad);
 }
 
-TEST_CASE("load that waits for an unload is not taken as begun") {
-  Led test;
+TEST_CASE("load that waits for an unload does not count as started") {
+  LeaderFixture fixture;
   TimePoint later = Start + Millis(8'000);
-  test.sight("old", true, later);
-  CHECK(test.readyAt(later) > later + StoreLoad);
+  fixture.reportEngine("old", true, later);
+  CHECK(fixture.readyAt(later) > later + StoreLoad);
 }
 
-// A lease that was lost and regained within a term set the numbers of orders
-// back, and agents took none of them until the numbers had caught up.
-// Two leaders in a row ordered the same model from the store, at two engines,
-// and with it more loads at once than the store serves at full speed.
-TEST_CASE("new leader knows of loads that an earlier one ordered") {
-  Led led;
-  openLeader(led.Leader, 3, Start);
-  led.Loading = "new";
-  led.sight("old", true, Start + Millis(100));
-  led.Loading.clear();
-  led.sight("", false, Start + Millis(100), "i-2", "10.0.0.2:7");
-  noteArrival(led.Leader.Demand.Rates["new"], 10, Start + Millis(1'000));
-  // The other engine is free, but the model is on its way.
-  TimePoint readyAt = led.readyAt(Start + Millis(1'000));
-  CHECK(led.Leader.Orders.empty());
+// Two successive leaders ordered the same model from the store at two engines,
+// which led to more concurrent loads than the store serves at full speed.
+TEST_CASE("new leader counts loads that an earlier leader ordered") {
+  LeaderFixture fixture;
+  startLeaderTerm(fixture.Leader, 3, Start);
+  fixture.Loading = "new";
+  fixture.reportEngine("old", true, Start + Millis(100));
+  fixture.Loading.clear();
+  fixture.reportEngine("", false, Start + Millis(100), "i-2", "10.0.0.2:7");
+  noteArrival(fixture.Leader.Demand.Rates["new"], 10, Start + Millis(1'000));
+  // The other engine is free, but the model is already being loaded.
+  TimePoint readyAt = fixture.readyAt(Start + Millis(1'000));
+  CHECK(fixture.Leader.Orders.empty());
   CHECK(readyAt == Start + Millis(100) + StoreLoad);
-  led.sight("old", false, Start + Millis(1'100));
-  led.readyAt(Start + Millis(2'000));
-  CHECK(led.Leader.Orders.size() == 1);
+  fixture.reportEngine("old", false, Start + Millis(1'100));
+  fixture.readyAt(Start + Millis(2'000));
+  CHECK(fixture.Leader.Orders.size() == 1);
 }
 
-// A model lay on one disk only, at an engine that loaded another one from the
-// store for 11.7 s. Its callers were told half a second, waited for 7.4 s and
-// were refused then.
-TEST_CASE("model near an engine that is under order is forecast after it") {
-  Led led;
-  led.OnDisk = {"new"};
-  led.sight("old", true, Start);
-  OpenOrder &order = led.Leader.Orders[EngineAddress];
+// A model was on the disk of one engine only, which was loading another model
+// from the store for 11.7 s. The forecast for its callers was half a second;
+// they waited for 7.4 s and were then refused.
+TEST_CASE("model on the disk of a busy engine is forecast after that engine's "
+          "order") {
+  LeaderFixture fixture;
+  fixture.OnDisk = {"new"};
+  fixture.reportEngine("old", true, Start);
+  PendingOrder &order = fixture.Leader.Orders[EngineAddress];
   order.Model = "old";
-  order.HasBegun = true;
+  order.HasStarted = true;
   order.Evict.clear();
   TimePoint now = Start + Millis(300);
   order.ReadyAt = now + Millis(4'000);
-  CHECK(led.readyAt(now) >= now + Millis(4'500));
-  CHECK(led.readyAt(now) <= now + Millis(5'000));
-  // Over its time it still is under order, for how long nobody knows.
+  CHECK(fixture.readyAt(now) >= now + Millis(4'500));
+  CHECK(fixture.readyAt(now) <= now + Millis(5'000));
+  // An overdue order still occupies the engine, for an unknown time.
   order.ReadyAt = now - Millis(1'000);
-  CHECK(led.readyAt(now) >= now + Millis(2'000));
-  // The store may be sooner.
+  CHECK(fixture.readyAt(now) >= now + Millis(2'000));
+  // Loading from the store may be faster.
   order.IsFromStore = false;
   order.ReadyAt = now + std::chrono::minutes(1);
-  CHECK(led.readyAt(now) <= now + StoreLoad + Millis(500));
+  CHECK(fixture.readyAt(now) <= now + StoreLoad + Millis(500));
 }
 
-// Two rare models lay on the disk of one engine and were waited for. Each load
-// made the other model give way in the moment in which it was there, before the
-// fronts had sent what waited for it: one load in five of a day served nobody.
-TEST_CASE("model that was just loaded stays until its callers are sent") {
-  Led led;
-  led.OrderDone = 1;
+// Requests waited for two rare models on the disk of the same engine. Each load
+// evicted the other model as soon as that was loaded, before the fronts had
+// sent the requests that waited for it: one load in five of a day served no
+// request.
+TEST_CASE("newly loaded model is kept until its waiting requests are sent") {
+  LeaderFixture fixture;
+  fixture.OrderDone = 1;
   TimePoint loaded = Start + Millis(1'000);
-  led.sight("new", false, loaded);
+  fixture.reportEngine("new", false, loaded);
   auto plan = [&](TimePoint Now) {
     wire::RowDemand row;
     row.set_model("old");
     row.set_waiting(1);
     row.set_waiting_worth(20);
-    takeWish(led.Leader, "front", row, Now);
-    addTo(led.Leader.Demand.Rates["old"].ShortWorth, 50, ShortSpan, Now);
+    recordUnservedDemand(fixture.Leader, "front", row, Now);
+    addTo(fixture.Leader.Demand.Rates["old"].ShortWorth, 50, ShortSpan, Now);
     NodeMessages out;
-    planPlacement(led.Leader, led.State, Now, out);
-    return led.Leader.Orders.size();
+    planPlacement(fixture.Leader, fixture.State, Now, out);
+    return fixture.Leader.Orders.size();
   };
   CHECK(plan(loaded + Millis(20)) == 0);
   CHECK(plan(loaded + Millis(600)) == 0);
-  led.sight("new", false, loaded + Millis(900));
+  fixture.reportEngine("new", false, loaded + Millis(900));
   CHECK(plan(loaded + Millis(900)) == 1);
 }
 
-// Ten engines were taken away with three loads from the store under way. For
-// 27 s no other load from the store was ordered, and all callers of models that
-// lay on no engine were refused.
-TEST_CASE("order at an engine that is gone holds no place at the store") {
+// Ten engines were removed while three loads from the store were in progress.
+// For 27 s no other load from the store was ordered, and all callers of models
+// that no engine had were refused.
+TEST_CASE("order at an engine that is gone does not count as a store load") {
   struct Case {
-    const char *What;
+    const char *Name;
     std::function<void(wire::EndpointSighting &)> Change;
     Millis After;
-    bool IsHeld;
+    bool IsKept;
   };
   const Case cases[] = {
-      {"engine is there", [](wire::EndpointSighting &) {}, Millis(300), true},
-      {"engine drains, its load goes on",
+      {"engine is present", [](wire::EndpointSighting &) {}, Millis(300), true},
+      {"engine drains, its load continues",
        [](wire::EndpointSighting &it) { it.set_is_draining(true); },
        Millis(300), true},
       {"engine left", [](wire::EndpointSighting &it) { it.set_has_left(true); },
        Millis(300), false},
-      {"engine was taken away",
+      {"engine was removed at short notice",
        [](wire::EndpointSighting &it) {
          it.set_is_draining(true);
          it.set_remaining_ms(2'000);
        },
        Millis(2'100), false},
-      {"engine fell silent", [](wire::EndpointSighting &) {},
+      {"engine fell unreported", [](wire::EndpointSighting &) {},
        EndpointSilence + Millis(300), false},
       {"another engine has its address",
        [](wire::EndpointSighting &it) {
@@ -259,8 +262,8 @@
        Millis(300), false},
   };
   for (const Case &it : cases) {
-    INFO(it.What);
-    Led led;
+    INFO(it.Name);
+    LeaderFixture fixture;
     wire::EndpointSighting sighting;
     sighting.set_id("i-1");
     sighting.set_service("chat");
@@ -269,50 +272,53 @@
     sighting.set_sequence(100);
     sighting.set_slots(4);
     it.Change(sighting);
-    applySighting(led.State.Directory, sighting, Start);
+    applySighting(fixture.State.Directory, sighting, Start);
     NodeMessages out;
-    led.Leader.NextPlan = Start;
-    planPlacement(led.Leader, led.State, Start + it.After, out);
-    CHECK(led.Leader.Orders.contains(EngineAddress) == it.IsHeld);
+    fixture.Leader.NextPlanAt = Start;
+    planPlacement(fixture.Leader, fixture.State, Start + it.After, out);
+    CHECK(fixture.Leader.Orders.contains(EngineAddress) == it.IsKept);
   }
 }
 
-TEST_CASE("leader that regains its lease goes on with its orders") {
-  Led test;
-  test.Leader.NextOrder += 40;
-  uint64_t next = test.Leader.NextOrder;
-  openLeader(test.Leader, 2, Start + Millis(500));
-  CHECK(test.Leader.NextOrder == next);
-  CHECK(test.Leader.Orders.size() == 1);
-  openLeader(test.Leader, 3, Start + Millis(900));
-  CHECK(test.Leader.NextOrder > next);
-  CHECK(test.Leader.Orders.empty());
+// When a lease was lost and regained within a term, order numbers started again
+// from the first, and agents rejected all orders until the numbers had caught
+// up.
+TEST_CASE("leader that regains its lease keeps its orders and their numbers") {
+  LeaderFixture fixture;
+  fixture.Leader.NextOrderNumber += 40;
+  uint64_t next = fixture.Leader.NextOrderNumber;
+  startLeaderTerm(fixture.Leader, 2, Start + Millis(500));
+  CHECK(fixture.Leader.NextOrderNumber == next);
+  CHECK(fixture.Leader.Orders.size() == 1);
+  startLeaderTerm(fixture.Leader, 3, Start + Millis(900));
+  CHECK(fixture.Leader.NextOrderNumber > next);
+  CHECK(fixture.Leader.Orders.empty());
 }
 
-TEST_CASE("wishes for tokens are answered within the limit, and bad ones not") {
-  Led test;
-  wire::QuotaWish wish;
-  wish.set_organisation("limited");
-  wish.set_wanted(300);
-  wish.set_least(300);
-  auto grant = answerQuotaWish(test.Leader, test.State, wish, Start);
+TEST_CASE("token grants stay within the limit, and invalid requests get none") {
+  LeaderFixture fixture;
+  wire::QuotaWish request;
+  request.set_organisation("limited");
+  request.set_wanted(300);
+  request.set_least(300);
+  auto grant = grantQuota(fixture.Leader, fixture.State, request, Start);
   REQUIRE(grant);
   CHECK(grant->granted() == 300);
   CHECK(grant->term() == 2);
   double sum = 0;
   for (int i = 0; i < 1'000; ++i)
-    sum += answerQuotaWish(test.Leader, test.State, wish, Start)->granted();
+    sum += grantQuota(fixture.Leader, fixture.State, request, Start)->granted();
   CHECK(sum <= 2'000);
-  auto refused = answerQuotaWish(test.Leader, test.State, wish, Start);
+  auto refused = grantQuota(fixture.Leader, fixture.State, request, Start);
   CHECK(refused->granted() == 0);
   CHECK(refused->wait_ms() > 0);
-  wish.set_least(400);
-  CHECK_FALSE(answerQuotaWish(test.Leader, test.State, wish, Start));
-  wish.set_least(-1);
-  CHECK_FALSE(answerQuotaWish(test.Leader, test.State, wish, Start));
-  wish.set_least(std::numeric_limits<double>::quiet_NaN());
-  CHECK_FALSE(answerQuotaWish(test.Leader, test.State, wish, Start));
-  wish.set_least(300);
-  wish.set_organisation("nobody");
-  CHECK_FALSE(answerQuotaWish(test.Leader, test.State, wish, Start));
+  request.set_least(400);
+  CHECK_FALSE(grantQuota(fixture.Leader, fixture.State, request, Start));
+  request.set_least(-1);
+  CHECK_FALSE(grantQuota(fixture.Leader, fixture.State, request, Start));
+  request.set_least(std::numeric_limits<double>::quiet_NaN());
+  CHECK_FALSE(grantQuota(fixture.Leader, fixture.State, request, Start));
+  request.set_least(300);
+  request.set_organisation("nobody");
+  CHECK_FALSE(grantQuota(fixture.Leader, fixture.State, request, Start));
 }
