--- a/front/leaderless_wish.cpp
+++ b/front/leaderless_wish.cpp
@@ -6,16 +6,17 @@
 
 namespace {
 
-/// Reports of agents show within this what came of an order.
-constexpr Millis AskPeriod{250};
-/// An engine whose agent has not spoken for this long may have changed; some
-/// of the agents' periods.
-constexpr Millis ReadingLife{2'500};
-/// The order is given up after the load's time and this much.
+/// Minimum interval between two requests for the same model. The agents'
+/// reports show the effect of an order within this time.
+constexpr Millis RequestInterval{250};
+/// An engine whose agent has not reported for this long, which is several of
+/// its report periods, may have changed and is not considered.
+constexpr Millis ReportLifetime{2'500};
+/// The order expires after the load time plus this allowance.
 constexpr Millis OrderSlack{1'000};
 
-/// True when no leader plans for \p Request: none is known, or the one that
-/// was does not answer.
+/// True when no leader plans for \p Request: none is known, or the known one
+/// has sent no forecast for its model.
 bool isLeaderless(const FrontState &State, const FrontRequest &Request,
                   const RowUse &Row, TimePoint Now) {
   if (State.IsLeading)
@@ -26,9 +27,9 @@
          Now - Row.ForecastAt > ForecastLife;
 }
 
-/// Memory that is free at an engine, adapters counted; none where it holds a
-/// model of unknown size.
-uint64_t freeMemory(const EngineSpec &Spec, const EngineState &Engine) {
+/// Free memory of an engine in MB, with loaded adapters counted as used; 0 when
+/// it has a model of unknown size.
+uint64_t freeMemoryMb(const EngineSpec &Spec, const EngineState &Engine) {
   uint64_t used = 0;
   for (const auto &[model, adapters] : Engine.Models) {
     auto it = Spec.Models.find(model);
@@ -53,10 +54,11 @@
   const ModelSpec &model = spec->Models.at(name);
   std::vector<FreeEngine> engines;
   std::vector<const EngineState *> states;
-  // An agent may speak before its engine has announced itself here.
+  // Iterates the agents' reports and not the endpoints: an agent may report
+  // before its engine has announced itself to this front.
   for (const auto &[address, reading] : State.Directory.Readings) {
     const EngineState &engine = reading.State;
-    if (engine.IsSilent || Now - engine.ReadAt > ReadingLife)
+    if (engine.IsSilent || Now - engine.ReadAt > ReportLifetime)
       continue;
     if (engine.Loading == name || engine.Models.contains(name))
       return std::nullopt;
@@ -64,13 +66,13 @@
     bool isFree = !engine.IsBusy && engine.Loading.empty();
     if (!isFree || (!isInMemory && !engine.OnDisk.contains(name)))
       continue;
-    engines.push_back({address, freeMemory(*spec, engine), isInMemory});
+    engines.push_back({address, freeMemoryMb(*spec, engine), isInMemory});
     states.push_back(&engine);
   }
   auto chosen = chooseFreeEngine(name, model.WeightsMb, engines);
   if (!chosen)
     return std::nullopt;
-  row.NextAsk = Now + AskPeriod;
+  row.NextAsk = Now + RequestInterval;
   AskForModel out;
   out.Agent = states[*chosen]->Agent;
   out.Order.set_engine_address(engines[*chosen].Address);
--- a/front/leaderless_wish.h
+++ b/front/leaderless_wish.h
@@ -1,5 +1,6 @@
 /// \file
-/// Loads that a front asks for itself while it hears nothing of a leader.
+/// Model loads that a front requests from agents itself while no leader plans
+/// them.
 #ifndef SASSAFRAS_FRONT_LEADERLESS_WISH_H
 #define SASSAFRAS_FRONT_LEADERLESS_WISH_H
 
@@ -10,15 +11,16 @@
 
 namespace sassafras {
 
-/// Ask an engine's agent to load a model into free memory.
+/// A request to an engine's agent to load a model into free memory.
 struct AskForModel {
-  std::string Agent; ///< Inner address.
+  std::string Agent; ///< Internal address.
   wire::EngineOrder Order;
 };
 
-/// For a request whose model no engine holds: whom to ask for it. Nothing while
-/// a leader plans, while an engine loads the model, or where nothing is free.
-/// Not thread safe.
+/// Chooses the agent to ask for the model of \p Request, which no engine has
+/// loaded. Returns nothing while a leader plans, when an engine is loading or
+/// already has the model, when no engine with its weights has room, and within
+/// 250 ms of the last such request for the model. Not thread safe.
 std::optional<AskForModel>
 askWithoutLeader(FrontState &State, const FrontRequest &Request, TimePoint Now);
 
--- a/tests/front/test_leader_work.cpp
+++ b/tests/front/test_leader_work.cpp
@@ -234,7 +234,7 @@
 // that no engine had were refused.
 TEST_CASE("order at an engine that is gone does not count as a store load") {
   struct Case {
-    const char *Name;
+    const char *Description;
     std::function<void(wire::EndpointSighting &)> Change;
     Millis After;
     bool IsKept;
@@ -252,7 +252,7 @@
          it.set_remaining_ms(2'000);
        },
        Millis(2'100), false},
-      {"engine fell unreported", [](wire::EndpointSighting &) {},
+      {"engine no longer announces itself", [](wire::EndpointSighting &) {},
        EndpointSilence + Millis(300), false},
       {"another engine has its address",
        [](wire::EndpointSighting &it) {
@@ -262,7 +262,7 @@
        Millis(300), false},
   };
   for (const Case &it : cases) {
-    INFO(it.Name);
+    INFO(it.Description);
     LeaderFixture fixture;
     wire::EndpointSighting sighting;
     sighting.set_id("i-1");
