--- a/front/leaderless_wish.cpp
+++ b/front/leaderless_wish.cpp
@@ -16,7 +16,7 @@
 constexpr Millis OrderSlack{1'000};
 
 /// True when no leader plans for \p Request: none is known, or the known one
-/// has sent no forecast for its model.
+/// has not sent a current forecast for its model in time.
 bool isLeaderless(const FrontState &State, const FrontRequest &Request,
                   const RowUse &Row, TimePoint Now) {
   if (State.IsLeading)
--- a/front/leaderless_wish.h
+++ b/front/leaderless_wish.h
@@ -19,8 +19,8 @@
 
 /// Chooses the agent to ask for the model of \p Request, which no engine has
 /// loaded. Returns nothing while a leader plans, when an engine is loading or
-/// already has the model, when no engine with its weights has room, and within
-/// 250 ms of the last such request for the model. Not thread safe.
+/// already has the model, when no engine with its weights has room, and while
+/// the last request for the model is recent. Not thread safe.
 std::optional<AskForModel>
 askWithoutLeader(FrontState &State, const FrontRequest &Request, TimePoint Now);
 
