--- a/front/fleet_api.cpp
+++ b/front/fleet_api.cpp
@@ -12,17 +12,19 @@
 
 constexpr unsigned StatusOk = 200;
 constexpr unsigned StatusRedirect = 307;
-constexpr unsigned StatusBad = 400;
+constexpr unsigned StatusBadRequest = 400;
 constexpr unsigned StatusNotFound = 404;
 constexpr unsigned StatusUnavailable = 503;
-/// Tables larger than this are not taken; the operators' bound is 4 MB.
-constexpr size_t MostTableBytes = 8ULL * 1024 * 1024;
+/// Largest table that is expanded, in bytes. Operators are limited to 4 MB.
+constexpr size_t MaxTableBytes = 8ULL * 1024 * 1024;
 
-std::vector<HttpField> jsonFields() {
+std::vector<HttpField> jsonHeaders() {
   return {{"content-type", "application/json"}};
 }
 
-std::string problemBody(const std::string &Reason) {
+/// JSON body for an error. Quotes, backslashes and control characters of
+/// \p Reason are replaced instead of escaped.
+std::string errorBody(const std::string &Reason) {
   std::string text;
   for (char it : Reason)
     if (it == '"' || it == '\\')
@@ -34,57 +36,57 @@
 
 } // namespace
 
-FleetApi::FleetApi(Parts Parts) : With(std::move(Parts)) {}
+FleetApi::FleetApi(Dependencies Dependencies) : Deps(std::move(Dependencies)) {}
 
-void FleetApi::take(const HttpRequest &Request,
-                    const std::shared_ptr<HttpExchange> &Exchange) {
+void FleetApi::handleRequest(const HttpRequest &Request,
+                             const std::shared_ptr<HttpExchange> &Exchange) {
   platform::FleetCall call = platform::readFleetCall(Request);
-  if (auto *spoken = std::get_if<platform::Announcement>(&call)) {
+  if (auto *announcement = std::get_if<platform::Announcement>(&call)) {
     TimePoint now = Clock::now();
     NodeMessages out;
-    SightingResult result = handleAnnouncement(With.Core.State, With.Gossip,
-                                               spoken->Sighting, now, out);
+    SightingResult result = handleAnnouncement(
+        Deps.Core.State, Deps.Gossip, announcement->Sighting, now, out);
     if (result != SightingResult::Refreshed)
       logEvent(LogLevel::Info,
                result == SightingResult::Changed ? "endpoint_changed"
                                                  : "announcement_ignored",
-               {{"endpoint", spoken->Sighting.id()},
-                {"address", spoken->Sighting.address()},
-                {"service", spoken->Sighting.service()},
-                {"sequence", std::to_string(spoken->Sighting.sequence())},
-                {"born", std::to_string(spoken->Sighting.born_ms())},
-                {"state", spoken->Sighting.has_left()      ? "left"
-                          : spoken->Sighting.is_draining() ? "draining"
-                                                           : "ready"}});
-    With.Core.Send(std::move(out));
-    Exchange->respond(StatusOk, jsonFields(), "{}\n");
+               {{"endpoint", announcement->Sighting.id()},
+                {"address", announcement->Sighting.address()},
+                {"service", announcement->Sighting.service()},
+                {"sequence", std::to_string(announcement->Sighting.sequence())},
+                {"born", std::to_string(announcement->Sighting.born_ms())},
+                {"state", announcement->Sighting.has_left()      ? "left"
+                          : announcement->Sighting.is_draining() ? "draining"
+                                                                 : "ready"}});
+    Deps.Core.Send(std::move(out));
+    Exchange->respond(StatusOk, jsonHeaders(), "{}\n");
   } else if (std::holds_alternative<platform::PutTable>(call)) {
     putTable(Request, Exchange);
   } else if (std::holds_alternative<platform::GetTable>(call)) {
     getTable(Exchange);
   } else if (std::holds_alternative<platform::ReadyQuestion>(call)) {
-    bool isReady = With.IsReady();
+    bool isReady = Deps.IsReady();
     Exchange->respond(isReady ? StatusOk : StatusUnavailable, {},
                       isReady ? "ready\n" : "not ready\n");
   } else if (std::holds_alternative<platform::MetricsQuestion>(call)) {
     Exchange->respond(StatusOk, {{"content-type", "text/plain"}},
-                      With.Core.Counts.print());
-  } else if (auto *bad = std::get_if<platform::UnreadableCall>(&call)) {
-    With.Core.Counts.count("calls_unreadable_total");
+                      Deps.Core.Counts.print());
+  } else if (auto *unreadable = std::get_if<platform::UnreadableCall>(&call)) {
+    Deps.Core.Counts.count("calls_unreadable_total");
     logEvent(LogLevel::Warning, "call_unreadable",
-             {{"target", Request.Target}, {"reason", bad->Reason}});
-    Exchange->respond(StatusBad, jsonFields(), problemBody(bad->Reason));
+             {{"target", Request.Target}, {"reason", unreadable->Reason}});
+    Exchange->respond(StatusBadRequest, jsonHeaders(),
+                      errorBody(unreadable->Reason));
   } else {
-    Exchange->respond(StatusNotFound, jsonFields(),
-                      problemBody("no such call"));
+    Exchange->respond(StatusNotFound, jsonHeaders(), errorBody("no such call"));
   }
 }
 
 void FleetApi::redirect(HttpExchange &Exchange, bool IsPut) {
-  std::string leader = With.LeaderAddress();
+  std::string leader = Deps.LeaderAddress();
   if (leader.empty()) {
-    Exchange.respond(StatusUnavailable, jsonFields(),
-                     problemBody("no leader is known"));
+    Exchange.respond(StatusUnavailable, jsonHeaders(),
+                     errorBody("no leader is known"));
     return;
   }
   Exchange.respond(
@@ -97,38 +99,38 @@
   std::string problem;
   ServingTablePtr table = platform::readTable(Request.Body, problem);
   if (!table) {
-    With.Core.Counts.count("tables_refused_total");
+    Deps.Core.Counts.count("tables_refused_total");
     logEvent(LogLevel::Warning, "table_refused", {{"reason", problem}});
-    Exchange->respond(StatusBad, jsonFields(), problemBody(problem));
+    Exchange->respond(StatusBadRequest, jsonHeaders(), errorBody(problem));
     return;
   }
-  ServingGroup *group = With.Group();
+  ServingGroup *group = Deps.Group();
   if (!group) {
     redirect(*Exchange, true);
     return;
   }
-  uint64_t number = NextCall++;
-  Calls[number] = {Exchange, true, table->Version, Clock::now()};
+  uint64_t number = NextCallNumber++;
+  PendingCalls[number] = {Exchange, true, table->Version, Clock::now()};
   group->post(StoreWrite{number, table->Version, compressText(Request.Body)});
 }
 
 void FleetApi::getTable(const std::shared_ptr<HttpExchange> &Exchange) {
-  ServingGroup *group = With.Group();
+  ServingGroup *group = Deps.Group();
   if (!group) {
     redirect(*Exchange, false);
     return;
   }
-  uint64_t number = NextCall++;
-  Calls[number] = {Exchange, false, 0, Clock::now()};
+  uint64_t number = NextCallNumber++;
+  PendingCalls[number] = {Exchange, false, 0, Clock::now()};
   group->post(StoreRead{number});
 }
 
-void FleetApi::takeAnswer(const StoreAnswer &Answer) {
-  auto found = Calls.find(Answer.Number);
-  if (found == Calls.end())
+void FleetApi::handleStoreAnswer(const StoreAnswer &Answer) {
+  auto found = PendingCalls.find(Answer.Number);
+  if (found == PendingCalls.end())
     return;
-  OpenCall call = std::move(found->second);
-  Calls.erase(found);
+  PendingCall call = std::move(found->second);
+  PendingCalls.erase(found);
   logEvent(
       LogLevel::Info, call.IsPut ? "table_put" : "table_read",
       {{"version", std::to_string(call.IsPut ? call.Version : Answer.Version)},
@@ -136,21 +138,21 @@
        {"outcome", Answer.Outcome == StoreOutcome::Done        ? "done"
                    : Answer.Outcome == StoreOutcome::NotLeader ? "redirect"
                                                                : "unavailable"},
-       {"took_ms", std::to_string(toMillis(Clock::now() - call.Since))}});
+       {"took_ms", std::to_string(toMillis(Clock::now() - call.StartedAt))}});
   if (Answer.Outcome == StoreOutcome::NotLeader) {
     redirect(*call.Exchange, call.IsPut);
   } else if (Answer.Outcome == StoreOutcome::Unavailable) {
-    call.Exchange->respond(StatusUnavailable, jsonFields(),
-                           problemBody("the group has no leader now"));
+    call.Exchange->respond(StatusUnavailable, jsonHeaders(),
+                           errorBody("the group has no leader now"));
   } else if (call.IsPut) {
-    call.Exchange->respond(StatusOk, jsonFields(), "{}\n");
-  } else if (auto text = expandText(Answer.Content, MostTableBytes)) {
-    call.Exchange->respond(StatusOk, jsonFields(), std::move(*text));
+    call.Exchange->respond(StatusOk, jsonHeaders(), "{}\n");
+  } else if (auto text = expandText(Answer.Content, MaxTableBytes)) {
+    call.Exchange->respond(StatusOk, jsonHeaders(), std::move(*text));
   } else {
     logEvent(LogLevel::Error, "table_unreadable",
              {{"version", std::to_string(Answer.Version)}});
-    call.Exchange->respond(StatusUnavailable, jsonFields(),
-                           problemBody("the table cannot be read"));
+    call.Exchange->respond(StatusUnavailable, jsonHeaders(),
+                           errorBody("the table cannot be read"));
   }
 }
 
--- a/front/fleet_api.h
+++ b/front/fleet_api.h
@@ -1,5 +1,6 @@
 /// \file
-/// Calls that the balancer, endpoints and operators make to a front.
+/// HTTP requests that the load balancer, endpoints and operators send to a
+/// front.
 #ifndef SASSAFRAS_FRONT_FLEET_API_H
 #define SASSAFRAS_FRONT_FLEET_API_H
 
@@ -12,31 +13,36 @@
 
 namespace sassafras {
 
-/// All methods on the context's thread.
+/// All methods must be called on the thread that runs the I/O context.
 class FleetApi {
 public:
-  struct Parts {
+  struct Dependencies {
     FrontCore &Core;
     GossipState &Gossip;
     std::function<bool()> IsReady;
     /// Null on a front without a data folder.
     std::function<ServingGroup *()> Group;
-    /// Operators' address of the leader, or empty.
+    /// Address of the leader's operator interface, or empty when no leader is
+    /// known.
     std::function<std::string()> LeaderAddress;
   };
 
-  explicit FleetApi(Parts Parts);
+  explicit FleetApi(Dependencies Dependencies);
 
-  void take(const HttpRequest &Request,
-            const std::shared_ptr<HttpExchange> &Exchange);
-  void takeAnswer(const StoreAnswer &Answer);
+  /// Answers a request, or forwards it to the serving group, whose answer
+  /// handleStoreAnswer passes on.
+  void handleRequest(const HttpRequest &Request,
+                     const std::shared_ptr<HttpExchange> &Exchange);
+  /// Completes the request that \p Answer belongs to, if it is still pending.
+  void handleStoreAnswer(const StoreAnswer &Answer);
 
 private:
-  struct OpenCall {
+  /// A request that waits for the serving group.
+  struct PendingCall {
     std::shared_ptr<HttpExchange> Exchange;
     bool IsPut = false;
     uint64_t Version = 0;
-    TimePoint Since;
+    TimePoint StartedAt;
   };
 
   void putTable(const HttpRequest &Request,
@@ -44,9 +50,9 @@
   void getTable(const std::shared_ptr<HttpExchange> &Exchange);
   void redirect(HttpExchange &Exchange, bool IsPut);
 
-  Parts With;
-  std::map<uint64_t, OpenCall> Calls;
-  uint64_t NextCall = 1;
+  Dependencies Deps;
+  std::map<uint64_t, PendingCall> PendingCalls;
+  uint64_t NextCallNumber = 1;
 };
 
 } // namespace sassafras
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -25,27 +25,36 @@
 
 namespace {
 
-/// Waiting requests are looked at again at this pace when something changed.
+/// Timer interval. Waiting requests are dispatched again on a tick after
+/// something has changed that may let them go on.
 constexpr Millis TickPeriod{20};
-/// And at the latest after this.
-constexpr Millis PumpPeriod{100};
+/// Waiting requests are dispatched again after this time even if nothing is
+/// known to have changed.
+constexpr Millis MaxDispatchInterval{100};
+/// Interval at which expired nodes, endpoints and connections are dropped.
 constexpr Millis SweepPeriod{1'000};
-/// A balancer that asks once a second turns elsewhere after two misses. What
-/// comes later may not be over before the process is ended.
-constexpr Millis RotationTime{2'900};
-/// Left of the grace at the end, for messages to leave.
+/// A stopping front accepts connections for this long. A load balancer that
+/// polls readiness once per second has moved its traffic after two failed
+/// polls; requests accepted later might not finish before the process is ended.
+constexpr Millis BalancerDrainTime{2'900};
+/// Part of the stop grace period that is reserved at its end for sending
+/// messages.
 constexpr Millis StopMargin{400};
 constexpr Millis ExitDelay{150};
-/// Some figures are logged at this pace, for a look back without metrics.
-constexpr Millis FiguresPeriod{5'000};
-/// Every endpoint announces itself within this: the platform's pace of 1.2 s,
-/// with room for one that has to try another front.
-constexpr Millis AnnouncementSpan{1'800};
-/// A front that has just started hears its fleet's endpoints within this.
-constexpr Millis LearnSpan{700};
-/// Fleet calls carry whole tables. Bytes.
-constexpr uint64_t FleetBodyBytes = 8ULL * 1024 * 1024;
-constexpr size_t MostTableBytes = 8ULL * 1024 * 1024;
+/// Interval at which some statistics are logged, for analysis where no metrics
+/// were collected.
+constexpr Millis StatisticsPeriod{5'000};
+/// Every running endpoint announces itself within this time: the platform's
+/// announcement interval of 1.2 s, plus time for a retry at another front.
+constexpr Millis MaxAnnouncementInterval{1'800};
+/// A newly started front learns the fleet's endpoints within this time, and is
+/// not ready before.
+constexpr Millis EndpointLearnTimeout{700};
+/// Largest body of a request to the control address, which may carry a whole
+/// table. Bytes.
+constexpr uint64_t MaxFleetBodyBytes = 8ULL * 1024 * 1024;
+/// Largest table after decompression. Bytes.
+constexpr size_t MaxTableBytes = 8ULL * 1024 * 1024;
 
 class FrontShell : public RoleShell,
                    public std::enable_shared_from_this<FrontShell> {
@@ -67,31 +76,31 @@
   void setLimits(const FrontSettings &Settings);
   void receive(HttpRequest Request,
                const std::shared_ptr<HttpExchange> &Exchange);
-  void takeRequest(HttpRequest Request,
-                   const std::shared_ptr<HttpExchange> &Exchange,
-                   TimePoint ArrivedAt);
-  void takeEarly(TimePoint Now);
-  void refuseAtDoor(const RequestFacts &Facts, const FrontRefusal &Refusal,
-                    HttpExchange &Exchange);
-  void takeLoss(const HttpExchange *Exchange, HttpLoss Loss);
-  void takeMessage(wire::Envelope Message);
-  void takeHello(const wire::Envelope &Message);
-  void takeReport(const wire::EngineReport &Report);
+  void handleRequest(HttpRequest Request,
+                     const std::shared_ptr<HttpExchange> &Exchange,
+                     TimePoint ArrivedAt);
+  void handleHeldRequests(TimePoint Now);
+  void refuseRequest(const RequestFacts &Facts, const FrontRefusal &Refusal,
+                     HttpExchange &Exchange);
+  void handleLoss(const HttpExchange *Exchange, HttpLoss Loss);
+  void handleMessage(wire::Envelope Message);
+  void handleHello(const wire::Envelope &Message);
+  void handleEngineReport(const wire::EngineReport &Report);
   void answerStatus(const wire::Envelope &Message);
-  void takeTable(uint64_t Version, const std::string &Content);
-  void takeView(const StoreView &View);
+  void applyTable(uint64_t Version, const std::string &Content);
+  void applyView(const StoreView &View);
   void send(NodeMessages Messages);
-  void wish(const wire::RowDemand &Row);
-  void askForTokens(const wire::QuotaWish &Wish);
+  void reportUnservedDemand(const wire::RowDemand &Row);
+  void requestTokens(const wire::QuotaWish &QuotaRequest);
   bool isReady() const;
-  std::string leaderControl() const;
+  std::string leaderControlAddress() const;
   void tick();
-  void pump();
-  void pumpForTokens(const std::string &Organisation);
-  void lead(TimePoint Now);
-  void beat(TimePoint Now);
-  void logFigures(TimePoint Now);
-  void logMembers(TimePoint Now);
+  void dispatchWaiting();
+  void dispatchWaitingForTokens(const std::string &Organisation);
+  void runLeaderTasks(TimePoint Now);
+  void runHeartbeat(TimePoint Now);
+  void logStatistics(TimePoint Now);
+  void logNodeChanges(TimePoint Now);
   void stopIfDone(TimePoint Now);
   void exit();
 
@@ -103,23 +112,23 @@
   GossipState Gossip;
   LeaderState Leader;
   StoreView View;
-  EarlyRequests Early;
+  EarlyRequests HeldRequests;
   std::unique_ptr<Link> Peers;
   std::unique_ptr<ServingGroup> Group;
   std::unique_ptr<FleetApi> Api;
-  std::unique_ptr<HttpServer> Callers;
+  std::unique_ptr<HttpServer> CallerServer;
   std::unique_ptr<HttpServer> ReadyServer;
-  std::unique_ptr<HttpServer> Control;
+  std::unique_ptr<HttpServer> ControlServer;
   boost::asio::steady_timer Timer;
   TimePoint StartedAt;
-  TimePoint NextBeat;
+  TimePoint NextHeartbeat;
   TimePoint NextSweep;
-  TimePoint NextPump;
-  TimePoint NextFigures;
-  TimePoint StopRotationEnd;
-  TimePoint StopEnd;
-  std::set<std::string> InView; ///< Nodes, as logged last.
-  bool HasChanged = false;      ///< Waiting requests may be able to go on.
+  TimePoint NextDispatch;
+  TimePoint NextStatistics;
+  TimePoint BalancerDrainEnd;
+  TimePoint StopDeadline;
+  std::set<std::string> LoggedInView; ///< Nodes last logged as in view.
+  bool IsDispatchDue = false; ///< Waiting requests may be able to go on.
   bool IsExiting = false;
 };
 
@@ -129,8 +138,8 @@
       Core(
           Parts.Io, Parts.Counts,
           [this](NodeMessages it) { send(std::move(it)); },
-          [this](const wire::RowDemand &it) { wish(it); },
-          [this](const wire::QuotaWish &it) { askForTokens(it); }),
+          [this](const wire::RowDemand &it) { reportUnservedDemand(it); },
+          [this](const wire::QuotaWish &it) { requestTokens(it); }),
       Timer(Parts.Io) {}
 
 bool FrontShell::start(std::string &Problem) {
@@ -139,12 +148,12 @@
   Peers = std::make_unique<Link>(
       Io, LinkSelf{Options.Fleet, Options.Node, incarnation, Options.Listen},
       Counts,
-      [this](wire::Envelope Message) { takeMessage(std::move(Message)); });
+      [this](wire::Envelope Message) { handleMessage(std::move(Message)); });
   if (!Peers->start(Problem))
     return false;
   FrontState &state = Core.State;
-  state.EndpointsKnownAt = StartedAt + AnnouncementSpan;
-  Early.HoldEnd = StartedAt + TableLearnSpan;
+  state.EndpointsKnownAt = StartedAt + MaxAnnouncementInterval;
+  HeldRequests.HoldEnd = StartedAt + TableLearnSpan;
   state.Self.set_name(Options.Node);
   state.Self.set_address(Peers->address());
   state.Self.set_incarnation(incarnation);
@@ -156,9 +165,10 @@
   state.Random.seed(drawIdentity());
   for (const std::string &it : Options.FrontRole.Seeds)
     Gossip.Seeds.push_back(atPortOf(it, Peers->address()));
-  Api = std::make_unique<FleetApi>(FleetApi::Parts{
-      Core, Gossip, [this] { return isReady(); },
-      [this] { return Group.get(); }, [this] { return leaderControl(); }});
+  Api = std::make_unique<FleetApi>(
+      FleetApi::Dependencies{Core, Gossip, [this] { return isReady(); },
+                             [this] { return Group.get(); },
+                             [this] { return leaderControlAddress(); }});
   if (!startServers(Problem))
     return false;
   if (!Options.FrontRole.DataFolder.empty())
@@ -183,28 +193,30 @@
 }
 
 bool FrontShell::startServers(std::string &Problem) {
-  HttpServer::Handlers callers;
-  callers.OnRequest = [this](HttpRequest Request,
-                             const std::shared_ptr<HttpExchange> &Exchange) {
-    receive(std::move(Request), Exchange);
+  HttpServer::Handlers callerHandlers;
+  callerHandlers.OnRequest =
+      [this](HttpRequest Request,
+             const std::shared_ptr<HttpExchange> &Exchange) {
+        receive(std::move(Request), Exchange);
+      };
+  callerHandlers.OnLoss = [this](const HttpExchange *Exchange, HttpLoss Loss) {
+    handleLoss(Exchange, Loss);
   };
-  callers.OnLoss = [this](const HttpExchange *Exchange, HttpLoss Loss) {
-    takeLoss(Exchange, Loss);
-  };
-  HttpServer::Handlers fleet;
-  fleet.OnRequest = [this](const HttpRequest &Request,
-                           const std::shared_ptr<HttpExchange> &Exchange) {
-    Api->take(Request, Exchange);
-  };
-  fleet.OnLoss = [](const HttpExchange *, HttpLoss) {};
+  HttpServer::Handlers fleetHandlers;
+  fleetHandlers.OnRequest =
+      [this](const HttpRequest &Request,
+             const std::shared_ptr<HttpExchange> &Exchange) {
+        Api->handleRequest(Request, Exchange);
+      };
+  fleetHandlers.OnLoss = [](const HttpExchange *, HttpLoss) {};
   HttpLimits fleetLimits;
-  fleetLimits.BodyBytes = FleetBodyBytes;
-  return startServer(Callers, Options.Http, HttpLimits(), std::move(callers),
-                     Problem) &&
-         startServer(ReadyServer, Options.FrontRole.Ready, HttpLimits(), fleet,
-                     Problem) &&
-         startServer(Control, Options.FrontRole.Control, fleetLimits, fleet,
-                     Problem);
+  fleetLimits.BodyBytes = MaxFleetBodyBytes;
+  return startServer(CallerServer, Options.Http, HttpLimits(),
+                     std::move(callerHandlers), Problem) &&
+         startServer(ReadyServer, Options.FrontRole.Ready, HttpLimits(),
+                     fleetHandlers, Problem) &&
+         startServer(ControlServer, Options.FrontRole.Control, fleetLimits,
+                     fleetHandlers, Problem);
 }
 
 void FrontShell::startGroup() {
@@ -215,12 +227,12 @@
   options.MayForm = Options.FrontRole.MayForm;
   ServingGroupCalls calls;
   calls.OnPublish = [this](const StorePublish &Table) {
-    takeTable(Table.Version, Table.Content);
+    applyTable(Table.Version, Table.Content);
   };
   calls.OnAnswer = [this](const StoreAnswer &Answer) {
-    Api->takeAnswer(Answer);
+    Api->handleStoreAnswer(Answer);
   };
-  calls.OnView = [this](const StoreView &NewView) { takeView(NewView); };
+  calls.OnView = [this](const StoreView &NewView) { applyView(NewView); };
   Group = std::make_unique<ServingGroup>(Io, System, *Peers, Counts,
                                          std::move(options), std::move(calls));
   Group->start();
@@ -232,16 +244,17 @@
                          const std::shared_ptr<HttpExchange> &Exchange) {
   TimePoint now = Clock::now();
   EarlyRequest request{std::move(Request), Exchange, now};
-  if (!Core.State.Table && holdEarly(Early, request, now)) {
+  if (!Core.State.Table && holdEarly(HeldRequests, request, now)) {
     Counts.count("requests_held_early_total");
     return;
   }
-  takeRequest(std::move(request.Message), Exchange, now);
+  handleRequest(std::move(request.Message), Exchange, now);
 }
 
-/// Takes what waited for the table, or is not to wait for it any longer.
-void FrontShell::takeEarly(TimePoint Now) {
-  auto early = releaseEarly(Early, Core.State.Table != nullptr, Now);
+/// Handles the requests that were held until the table is known, once it is
+/// known or the time limit for holding them has passed.
+void FrontShell::handleHeldRequests(TimePoint Now) {
+  auto early = releaseEarly(HeldRequests, Core.State.Table != nullptr, Now);
   if (!early.empty())
     logEvent(LogLevel::Info, "early_requests_taken",
              {{"count", std::to_string(early.size())},
@@ -249,12 +262,12 @@
               {"longest_wait_ms",
                std::to_string(toMillis(Now - early.front().ArrivedAt))}});
   for (EarlyRequest &it : early)
-    takeRequest(std::move(it.Message), it.Exchange, it.ArrivedAt);
+    handleRequest(std::move(it.Message), it.Exchange, it.ArrivedAt);
 }
 
-void FrontShell::takeRequest(HttpRequest Request,
-                             const std::shared_ptr<HttpExchange> &Exchange,
-                             TimePoint ArrivedAt) {
+void FrontShell::handleRequest(HttpRequest Request,
+                               const std::shared_ptr<HttpExchange> &Exchange,
+                               TimePoint ArrivedAt) {
   TimePoint now = Clock::now();
   platform::CallerFields fields = platform::takeCallerFields(Request);
   RequestFacts facts;
@@ -273,7 +286,7 @@
   facts.LastEvent = fields.LastEvent;
   auto admitted = admitRequest(Core.State, facts, ArrivedAt);
   if (auto *refusal = std::get_if<FrontRefusal>(&admitted)) {
-    refuseAtDoor(facts, *refusal, *Exchange);
+    refuseRequest(facts, *refusal, *Exchange);
     return;
   }
   auto &request = std::get<FrontRequest>(admitted);
@@ -293,9 +306,9 @@
       ->start();
 }
 
-void FrontShell::refuseAtDoor(const RequestFacts &Facts,
-                              const FrontRefusal &Refusal,
-                              HttpExchange &Exchange) {
+void FrontShell::refuseRequest(const RequestFacts &Facts,
+                               const FrontRefusal &Refusal,
+                               HttpExchange &Exchange) {
   std::string reason(nameOf(Refusal.Reason));
   Counts.count("refusals_total", "reason=\"" + reason + "\"");
   uint64_t version = Core.State.Table ? Core.State.Table->Version : 0;
@@ -315,8 +328,8 @@
                        "\n");
 }
 
-void FrontShell::takeLoss(const HttpExchange *Exchange, HttpLoss Loss) {
-  if (dropEarly(Early, Exchange))
+void FrontShell::handleLoss(const HttpExchange *Exchange, HttpLoss Loss) {
+  if (dropEarly(HeldRequests, Exchange))
     return;
   auto number = Core.ByExchange.find(Exchange);
   if (number == Core.ByExchange.end())
@@ -324,14 +337,14 @@
   auto relay = Core.Relays.find(number->second);
   if (relay == Core.Relays.end())
     return;
-  std::shared_ptr<Relay> kept = relay->second;
-  kept->loseCaller(Loss);
-  HasChanged = true;
+  std::shared_ptr<Relay> keepAlive = relay->second;
+  keepAlive->loseCaller(Loss);
+  IsDispatchDue = true;
 }
 
 // ---- Peers ----
 
-void FrontShell::takeMessage(wire::Envelope Message) {
+void FrontShell::handleMessage(wire::Envelope Message) {
   TimePoint now = Clock::now();
   NodeMessages out;
   FrontState &state = Core.State;
@@ -339,31 +352,31 @@
   case wire::Envelope::kNodeHeartbeat:
     handleNodeHeartbeat(state, Gossip, Leader.Demand, Message.node_heartbeat(),
                         now, out);
-    HasChanged = true;
+    IsDispatchDue = true;
     break;
   case wire::Envelope::kRosterUpdate:
     applyRosterUpdate(state, Message.roster_update(), now);
     break;
   case wire::Envelope::kEndpointNews:
     applyEndpointNews(state, Message.endpoint_news(), now);
-    HasChanged = true;
+    IsDispatchDue = true;
     break;
   case wire::Envelope::kEngineReport:
-    takeReport(Message.engine_report());
+    handleEngineReport(Message.engine_report());
     break;
   case wire::Envelope::kTableRequest:
     sendTable(state, Message.reply_address(), out);
     break;
   case wire::Envelope::kTableUpdate:
-    takeTable(Message.table_update().version(),
-              Message.table_update().content());
+    applyTable(Message.table_update().version(),
+               Message.table_update().content());
     break;
   case wire::Envelope::kRateShares:
     applyRateShares(state, Message.rate_shares(), now);
     break;
   case wire::Envelope::kLoadForecast:
     applyForecast(state, Message.load_forecast(), now);
-    HasChanged = true;
+    IsDispatchDue = true;
     break;
   case wire::Envelope::kModelWish:
     if (View.IsLeader)
@@ -381,10 +394,10 @@
     break;
   case wire::Envelope::kQuotaGrant:
     takeQuotaGrant(state, Message.quota_grant(), now);
-    pumpForTokens(Message.quota_grant().organisation());
+    dispatchWaitingForTokens(Message.quota_grant().organisation());
     break;
   case wire::Envelope::kBlankHello:
-    takeHello(Message);
+    handleHello(Message);
     break;
   case wire::Envelope::kStatusRequest:
     answerStatus(Message);
@@ -397,12 +410,13 @@
   send(std::move(out));
 }
 
-void FrontShell::takeHello(const wire::Envelope &Message) {
+void FrontShell::handleHello(const wire::Envelope &Message) {
   if (Group) {
     Group->post(StoreReceived{Message});
     return;
   }
-  // This front keeps no log: it says so, and passes on who asks to be taken in.
+  // This front keeps no log and cannot be a member: it says so in its answer,
+  // and forwards a request to join to the leader.
   const wire::BlankHello &hello = Message.blank_hello();
   bool isAsking = hello.is_blank() || hello.is_joining();
   if (hello.is_diskless() || !isAsking || Message.from() != hello.name())
@@ -423,7 +437,7 @@
   send(std::move(out));
 }
 
-void FrontShell::takeReport(const wire::EngineReport &Report) {
+void FrontShell::handleEngineReport(const wire::EngineReport &Report) {
   TimePoint now = Clock::now();
   if (!applyReport(Core.State.Directory, Report, now))
     return;
@@ -431,14 +445,14 @@
   if (id != Core.State.Directory.IdByAddress.end())
     noteLoad(Core.State.Records[id->second], Report.active() + Report.queued(),
              EngineReportLife, now);
-  HasChanged = true;
+  IsDispatchDue = true;
 }
 
 void FrontShell::answerStatus(const wire::Envelope &Message) {
   wire::Envelope answer;
   wire::StatusReply &reply = *answer.mutable_status_reply();
   reply.set_request_id(Message.status_request().request_id());
-  printFrontStatus(Core.State, Clock::now(), reply);
+  fillFrontStatus(Core.State, Clock::now(), reply);
   if (Group) {
     Group->post(StoreStatus{Message.reply_address(), std::move(reply)});
     return;
@@ -448,12 +462,12 @@
   Peers->send(Message.reply_address(), std::move(answer));
 }
 
-void FrontShell::takeTable(uint64_t Version, const std::string &Content) {
+void FrontShell::applyTable(uint64_t Version, const std::string &Content) {
   FrontState &state = Core.State;
   if (state.Table && Version <= state.Table->Version)
     return;
   std::string problem;
-  auto text = expandText(Content, MostTableBytes);
+  auto text = expandText(Content, MaxTableBytes);
   ServingTablePtr table = text ? platform::readTable(*text, problem) : nullptr;
   if (!table) {
     logEvent(LogLevel::Error, "table_unreadable",
@@ -469,7 +483,7 @@
   limits.HeadTime = table->Limits.HeadTime;
   limits.IdleTime = table->Limits.IdleTime;
   limits.EndsWithCaller = true;
-  Callers->setLimits(limits);
+  CallerServer->setLimits(limits);
   logEvent(LogLevel::Info, "table_in_force",
            {{"version", std::to_string(Version)},
             {"before", std::to_string(before)},
@@ -479,14 +493,15 @@
   if (View.IsLeader)
     pushTable(state, Clock::now(), out);
   send(std::move(out));
-  HasChanged = true;
-  takeEarly(Clock::now());
+  IsDispatchDue = true;
+  handleHeldRequests(Clock::now());
 }
 
-void FrontShell::takeView(const StoreView &NewView) {
+void FrontShell::applyView(const StoreView &NewView) {
   if (NewView.IsLeader && !View.IsLeader) {
-    // All fronts are told at once: they wait for forecasts and tokens.
-    NextBeat = TimePoint();
+    // Announces the new leader to all fronts at once, as they wait for
+    // forecasts and tokens.
+    NextHeartbeat = TimePoint();
     Gossip.NextBroadcast = TimePoint();
   }
   View = NewView;
@@ -502,7 +517,7 @@
     Peers->send(it.Address, std::move(it.Message));
 }
 
-void FrontShell::wish(const wire::RowDemand &Row) {
+void FrontShell::reportUnservedDemand(const wire::RowDemand &Row) {
   if (View.IsLeader) {
     recordUnservedDemand(Leader, Options.Node, Row, Clock::now());
     return;
@@ -512,59 +527,59 @@
   Peers->send(Core.State.Leader.Address, std::move(message));
 }
 
-void FrontShell::askForTokens(const wire::QuotaWish &Wish) {
+void FrontShell::requestTokens(const wire::QuotaWish &QuotaRequest) {
   if (!View.IsLeader) {
     wire::Envelope message;
-    *message.mutable_quota_wish() = Wish;
+    *message.mutable_quota_wish() = QuotaRequest;
     Peers->send(Core.State.Leader.Address, std::move(message));
     return;
   }
   TimePoint now = Clock::now();
-  if (auto grant = grantQuota(Leader, Core.State, Wish, now))
+  if (auto grant = grantQuota(Leader, Core.State, QuotaRequest, now))
     takeQuotaGrant(Core.State, *grant, now);
-  HasChanged = true;
+  IsDispatchDue = true;
 }
 
-std::string FrontShell::leaderControl() const {
+std::string FrontShell::leaderControlAddress() const {
   if (!View.LeaderAddress.empty() && !View.IsLeader)
     return atPortOf(View.LeaderAddress, Options.FrontRole.Control);
-  bool isHeard = Clock::now() - Core.State.Leader.HeardAt < NodeSilence;
-  return isHeard && !View.IsLeader ? Core.State.Leader.ControlAddress
-                                   : std::string();
+  bool isCurrent = Clock::now() - Core.State.Leader.HeardAt < NodeSilence;
+  return isCurrent && !View.IsLeader ? Core.State.Leader.ControlAddress
+                                     : std::string();
 }
 
 bool FrontShell::isReady() const {
   return Core.State.Table && !Core.State.IsStopping &&
-         Clock::now() - StartedAt > LearnSpan;
+         Clock::now() - StartedAt > EndpointLearnTimeout;
 }
 
-// ---- Time ----
+// ---- Timer ----
 
 void FrontShell::tick() {
   if (IsExiting)
     return;
   TimePoint now = Clock::now();
-  if (HasChanged || isPast(NextPump, now)) {
-    HasChanged = false;
-    NextPump = now + PumpPeriod;
-    pump();
+  if (IsDispatchDue || isPast(NextDispatch, now)) {
+    IsDispatchDue = false;
+    NextDispatch = now + MaxDispatchInterval;
+    dispatchWaiting();
   }
-  takeEarly(now);
-  if (isPast(NextBeat, now))
-    beat(now);
+  handleHeldRequests(now);
+  if (isPast(NextHeartbeat, now))
+    runHeartbeat(now);
   if (View.IsLeader)
-    lead(now);
+    runLeaderTasks(now);
   if (isPast(NextSweep, now)) {
     NextSweep = now + SweepPeriod;
     Core.Client.sweep();
-    logMembers(now);
+    logNodeChanges(now);
     expireNodes(Core.State.Roster, now);
     expireEndpoints(Core.State.Directory, now);
     std::erase_if(Core.State.AdapterWishes,
                   [&](const auto &it) { return isPast(it.second, now); });
   }
-  if (isPast(NextFigures, now))
-    logFigures(now);
+  if (isPast(NextStatistics, now))
+    logStatistics(now);
   if (Core.State.IsStopping)
     stopIfDone(now);
   Timer.expires_after(TickPeriod);
@@ -574,31 +589,31 @@
   });
 }
 
-/// Gives waiting requests another try, the most urgent first.
-void FrontShell::pump() {
+/// Dispatches all waiting requests again, the most urgent first.
+void FrontShell::dispatchWaiting() {
   std::set<WaitingKey> waiting = Core.Waiting;
   for (const WaitingKey &it : waiting) {
     auto relay = Core.Relays.find(it.second);
     if (relay == Core.Relays.end())
       continue;
-    std::shared_ptr<Relay> kept = relay->second;
-    kept->dispatch();
+    std::shared_ptr<Relay> keepAlive = relay->second;
+    keepAlive->dispatch();
   }
 }
 
-/// Only the requests that waited for tokens of \p Organisation.
-void FrontShell::pumpForTokens(const std::string &Organisation) {
+/// Dispatches only the requests that wait for tokens of \p Organisation.
+void FrontShell::dispatchWaitingForTokens(const std::string &Organisation) {
   auto wanting = Core.State.Quotas[Organisation].Wanting;
   for (const auto &[number, cost] : wanting) {
     auto relay = Core.Relays.find(number);
     if (relay == Core.Relays.end())
       continue;
-    std::shared_ptr<Relay> kept = relay->second;
-    kept->dispatch();
+    std::shared_ptr<Relay> keepAlive = relay->second;
+    keepAlive->dispatch();
   }
 }
 
-void FrontShell::lead(TimePoint Now) {
+void FrontShell::runLeaderTasks(TimePoint Now) {
   NodeMessages out;
   planPlacement(Leader, Core.State, Now, out);
   sendForecasts(Leader, Core.State, Now, out);
@@ -606,8 +621,8 @@
   send(std::move(out));
 }
 
-void FrontShell::beat(TimePoint Now) {
-  NextBeat =
+void FrontShell::runHeartbeat(TimePoint Now) {
+  NextHeartbeat =
       Now + (Core.State.Table ? HeartbeatPeriod : StartupHeartbeatPeriod);
   NodeMessages out;
   if (View.IsLeader) {
@@ -628,8 +643,8 @@
   Group->post(StoreGreet{std::move(addresses)});
 }
 
-void FrontShell::logFigures(TimePoint Now) {
-  NextFigures = Now + FiguresPeriod;
+void FrontShell::logStatistics(TimePoint Now) {
+  NextStatistics = Now + StatisticsPeriod;
   std::string bytes;
   for (const auto &[name, n] : Counts.list("link_sent_bytes_total"))
     bytes +=
@@ -648,28 +663,28 @@
        {"sent_bytes_by_kind", bytes}});
 }
 
-void FrontShell::logMembers(TimePoint Now) {
+void FrontShell::logNodeChanges(TimePoint Now) {
   for (const auto &[name, it] : Core.State.Roster.Nodes) {
-    bool isNow = isInView(it, Now);
-    if (isNow == InView.contains(name))
+    bool isInViewNow = isInView(it, Now);
+    if (isInViewNow == LoggedInView.contains(name))
       continue;
-    logEvent(LogLevel::Info, isNow ? "node_in_view" : "node_out_of_view",
+    logEvent(LogLevel::Info, isInViewNow ? "node_in_view" : "node_out_of_view",
              {{"peer", name},
               {"zone", it.Entry.zone()},
               {"silent_ms", std::to_string(toMillis(Now - it.HeardAt))},
               {"leaving", it.IsLeaving ? "yes" : "no"}});
-    if (isNow)
-      InView.insert(name);
+    if (isInViewNow)
+      LoggedInView.insert(name);
     else
-      InView.erase(name);
+      LoggedInView.erase(name);
   }
 }
 
 void FrontShell::stopIfDone(TimePoint Now) {
-  if (!isPast(StopRotationEnd, Now))
+  if (!isPast(BalancerDrainEnd, Now))
     return;
-  Callers->stopAccepting();
-  bool isFinal = isPast(StopEnd, Now);
+  CallerServer->stopAccepting();
+  bool isFinal = isPast(StopDeadline, Now);
   auto relays = Core.Relays;
   for (auto &[number, it] : relays)
     it->stop(isFinal);
@@ -694,10 +709,10 @@
       return;
     TimePoint now = Clock::now();
     self->Core.State.IsStopping = true;
-    self->StopRotationEnd = now + RotationTime;
-    self->StopEnd = now + self->Options.FrontRole.StopGrace - StopMargin;
-    self->Callers->windDown();
-    self->Early.HoldEnd = now;
+    self->BalancerDrainEnd = now + BalancerDrainTime;
+    self->StopDeadline = now + self->Options.FrontRole.StopGrace - StopMargin;
+    self->CallerServer->windDown();
+    self->HeldRequests.HoldEnd = now;
     if (self->Group)
       self->Group->post(StoreStop{});
   });
--- a/front/front_shell.h
+++ b/front/front_shell.h
@@ -1,5 +1,6 @@
 /// \file
-/// The front process: callers' entry and the serving table's group in one.
+/// The front process. It serves callers' requests and, when it has a data
+/// folder, runs a member of the serving table's group.
 #ifndef SASSAFRAS_FRONT_FRONT_SHELL_H
 #define SASSAFRAS_FRONT_FRONT_SHELL_H
 
@@ -7,6 +8,7 @@
 
 namespace sassafras {
 
+/// Everything in \p Parts must outlive the shell.
 std::shared_ptr<RoleShell> makeFrontShell(const ShellParts &Parts);
 
 } // namespace sassafras
--- a/front/front_status.cpp
+++ b/front/front_status.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-const char *stateOf(const KnownEndpoint &Endpoint, const EngineState *Engine,
-                    TimePoint Now) {
+const char *endpointState(const KnownEndpoint &Endpoint,
+                          const EngineState *Engine, TimePoint Now) {
   if (Endpoint.HasLeft || Endpoint.IsDraining)
     return "leaving";
   if (!isUsable(Endpoint, Now) || (Engine && Engine->IsSilent))
@@ -13,8 +13,8 @@
   return isPast(Endpoint.SlowUntil, Now) ? "usable" : "slow";
 }
 
-void printEngine(const EngineState &Engine, TimePoint Now,
-                 wire::EndpointStatus &Out) {
+void fillEngineStatus(const EngineState &Engine, TimePoint Now,
+                      wire::EndpointStatus &Out) {
   Out.set_active(Engine.Active);
   Out.set_queued(Engine.Queued);
   Out.set_report_age_ms(toMillis(Now - Engine.ReadAt));
@@ -31,8 +31,8 @@
 
 } // namespace
 
-void printFrontStatus(const FrontState &State, TimePoint Now,
-                      wire::StatusReply &Out) {
+void fillFrontStatus(const FrontState &State, TimePoint Now,
+                     wire::StatusReply &Out) {
   Out.set_node(State.Self.name());
   Out.set_table_version(State.Table ? State.Table->Version : 0);
   for (const auto &[name, it] : State.Roster.Nodes) {
@@ -49,11 +49,11 @@
     endpoint.set_service(known.Service);
     endpoint.set_zone(known.Zone);
     endpoint.set_address(known.Address);
-    endpoint.set_state(stateOf(known, engine, Now));
+    endpoint.set_state(endpointState(known, engine, Now));
     endpoint.set_slots(known.Slots);
     endpoint.set_report_age_ms(toMillis(Now - known.HeardAt));
     if (engine)
-      printEngine(*engine, Now, endpoint);
+      fillEngineStatus(*engine, Now, endpoint);
   }
 }
 
--- a/front/front_status.h
+++ b/front/front_status.h
@@ -1,5 +1,5 @@
 /// \file
-/// A front's view of its fleet, as an operator asks for it.
+/// A front's view of the fleet as reported to operators.
 #ifndef SASSAFRAS_FRONT_FRONT_STATUS_H
 #define SASSAFRAS_FRONT_FRONT_STATUS_H
 
@@ -7,10 +7,10 @@
 
 namespace sassafras {
 
-/// Fills in the nodes and endpoints that this front knows, with the age of
-/// what it knows, and its version of the table.
-void printFrontStatus(const FrontState &State, TimePoint Now,
-                      wire::StatusReply &Out);
+/// Fills in this front's name and table version, and the nodes and endpoints
+/// that it knows with the age of that information in milliseconds.
+void fillFrontStatus(const FrontState &State, TimePoint Now,
+                     wire::StatusReply &Out);
 
 } // namespace sassafras
 
