--- a/front/dispatch.h
+++ b/front/dispatch.h
@@ -41,7 +41,7 @@
   DispatchDecision Decision;
   std::vector<AskForAdapter> Wishes;
   /// An engine's agent should be asked for the model itself.
-  std::optional<AskForModel> Load;
+  std::optional<ModelLoadRequest> Load;
   /// The leader should be told of this model now.
   std::optional<wire::RowDemand> Wish;
   /// The leader should be asked for these tokens now.
--- a/front/leaderless_wish.cpp
+++ b/front/leaderless_wish.cpp
@@ -42,9 +42,9 @@
 
 } // namespace
 
-std::optional<AskForModel> askWithoutLeader(FrontState &State,
-                                            const FrontRequest &Request,
-                                            TimePoint Now) {
+std::optional<ModelLoadRequest> askWithoutLeader(FrontState &State,
+                                                 const FrontRequest &Request,
+                                                 TimePoint Now) {
   const EngineSpec *spec = engineSpecOf(State, Request.Service);
   const std::string &name = Request.Facts.Model;
   RowUse &row = State.Rows[name];
@@ -73,7 +73,7 @@
   if (!chosen)
     return std::nullopt;
   row.NextAsk = Now + RequestInterval;
-  AskForModel out;
+  ModelLoadRequest out;
   out.Agent = states[*chosen]->Agent;
   out.Order.set_engine_address(engines[*chosen].Address);
   out.Order.set_load(name);
--- a/front/leaderless_wish.h
+++ b/front/leaderless_wish.h
@@ -12,7 +12,7 @@
 namespace sassafras {
 
 /// A request to an engine's agent to load a model into free memory.
-struct AskForModel {
+struct ModelLoadRequest {
   std::string Agent; ///< Internal address.
   wire::EngineOrder Order;
 };
@@ -21,7 +21,7 @@
 /// loaded. Returns nothing while a leader plans, when an engine is loading or
 /// already has the model, when no engine with its weights has room, and while
 /// the last request for the model is recent. Not thread safe.
-std::optional<AskForModel>
+std::optional<ModelLoadRequest>
 askWithoutLeader(FrontState &State, const FrontRequest &Request, TimePoint Now);
 
 } // namespace sassafras
