--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -240,7 +240,7 @@
   }
   noteWaiting(row, Request, Now);
   out.Wish = wishForModel(row, Request.Facts.Model, Now);
-  out.Load = askWithoutLeader(State, Request, Now);
+  out.Load = requestLoadWithoutLeader(State, Request, Now);
   out.Decision = WaitUntil{Now + WaitPeriod};
   return out;
 }
@@ -443,7 +443,7 @@
     if (!isPast(State.EndpointsKnownAt, Now) &&
         State.EndpointsKnownAt < Request.PatienceEnd) {
       if (isEngine)
-        out.Load = askWithoutLeader(State, Request, Now);
+        out.Load = requestLoadWithoutLeader(State, Request, Now);
       out.Decision = WaitUntil{Now + WaitPeriod};
       return out;
     }
--- a/front/leaderless_wish.cpp
+++ b/front/leaderless_wish.cpp
@@ -42,9 +42,9 @@
 
 } // namespace
 
-std::optional<ModelLoadRequest> askWithoutLeader(FrontState &State,
-                                                 const FrontRequest &Request,
-                                                 TimePoint Now) {
+std::optional<ModelLoadRequest>
+requestLoadWithoutLeader(FrontState &State, const FrontRequest &Request,
+                         TimePoint Now) {
   const EngineSpec *spec = engineSpecOf(State, Request.Service);
   const std::string &name = Request.Facts.Model;
   RowUse &row = State.Rows[name];
--- a/front/leaderless_wish.h
+++ b/front/leaderless_wish.h
@@ -22,7 +22,8 @@
 /// already has the model, when no engine with its weights has room, and while
 /// the last request for the model is recent. Not thread safe.
 std::optional<ModelLoadRequest>
-askWithoutLeader(FrontState &State, const FrontRequest &Request, TimePoint Now);
+requestLoadWithoutLeader(FrontState &State, const FrontRequest &Request,
+                         TimePoint Now);
 
 } // namespace sassafras
 
