--- a/front/fleet_api.cpp
+++ b/front/fleet_api.cpp
@@ -38,8 +38,8 @@
 
 FleetApi::FleetApi(Dependencies Dependencies) : Deps(std::move(Dependencies)) {}
 
-void FleetApi::handleRequest(const HttpRequest &Request,
-                             const std::shared_ptr<HttpExchange> &Exchange) {
+void FleetApi::handleCall(const HttpRequest &Request,
+                          const std::shared_ptr<HttpExchange> &Exchange) {
   platform::FleetCall call = platform::readFleetCall(Request);
   if (auto *announcement = std::get_if<platform::Announcement>(&call)) {
     TimePoint now = Clock::now();
--- a/front/fleet_api.h
+++ b/front/fleet_api.h
@@ -31,8 +31,8 @@
 
   /// Answers a request, or forwards it to the serving group, whose answer
   /// handleStoreAnswer passes on.
-  void handleRequest(const HttpRequest &Request,
-                     const std::shared_ptr<HttpExchange> &Exchange);
+  void handleCall(const HttpRequest &Request,
+                  const std::shared_ptr<HttpExchange> &Exchange);
   /// Completes the request that \p Answer belongs to, if it is still pending.
   void handleStoreAnswer(const StoreAnswer &Answer);
 
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -206,7 +206,7 @@
   fleetHandlers.OnRequest =
       [this](const HttpRequest &Request,
              const std::shared_ptr<HttpExchange> &Exchange) {
-        Api->handleRequest(Request, Exchange);
+        Api->handleCall(Request, Exchange);
       };
   fleetHandlers.OnLoss = [](const HttpExchange *, HttpLoss) {};
   HttpLimits fleetLimits;
