--- a/front/fleet_view.cpp
+++ b/front/fleet_view.cpp
@@ -95,8 +95,8 @@
   }
 }
 
-void recordDemand(FleetDemand &Demand, const std::string &Front,
-                  const wire::NodeHeartbeat &Heartbeat, TimePoint Now) {
+void recordFrontDemand(FleetDemand &Demand, const std::string &Front,
+                       const wire::NodeHeartbeat &Heartbeat, TimePoint Now) {
   FleetDemand::FrontReport &report = Demand.Fronts[Front];
   report.HeardAt = Now;
   report.Organisations.clear();
@@ -215,7 +215,7 @@
   State.Roster.Nodes[self.name()].IsLeaving = Heartbeat.is_leaving();
   if (Heartbeat.is_leader() && isNewerLeader(State, Heartbeat, Now))
     setLeader(State, Heartbeat, Now, Out);
-  recordDemand(Demand, self.name(), Heartbeat, Now);
+  recordFrontDemand(Demand, self.name(), Heartbeat, Now);
   for (const wire::EndpointSighting &it : Heartbeat.alive())
     applySighting(State.Directory, it, Now);
   uint64_t version = State.Table ? State.Table->Version : 0;
--- a/front/fleet_view.h
+++ b/front/fleet_view.h
@@ -90,8 +90,8 @@
 void pushTable(const FrontState &State, TimePoint Now, NodeMessages &Out);
 /// Replaces the recorded demand of a front, this one included, by that in
 /// \p Heartbeat and adds its arrivals to the averages.
-void recordDemand(FleetDemand &Demand, const std::string &Front,
-                  const wire::NodeHeartbeat &Heartbeat, TimePoint Now);
+void recordFrontDemand(FleetDemand &Demand, const std::string &Front,
+                       const wire::NodeHeartbeat &Heartbeat, TimePoint Now);
 /// Fills in the demand part of a heartbeat and resets the arrival counters.
 void collectOwnDemand(FrontState &State, wire::NodeHeartbeat &Heartbeat,
                       TimePoint Now);
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -628,7 +628,7 @@
   if (View.IsLeader) {
     wire::NodeHeartbeat own;
     collectOwnDemand(Core.State, own, Now);
-    recordDemand(Leader.Demand, Options.Node, own, Now);
+    recordFrontDemand(Leader.Demand, Options.Node, own, Now);
   }
   sendHeartbeats(Core.State, Gossip, View.IsLeader, View.Term, Now, out);
   send(std::move(out));
--- a/front/leader_work.cpp
+++ b/front/leader_work.cpp
@@ -10,11 +10,11 @@
 
 /// A new leader collects the fronts' demand and the agents' reports for this
 /// long before it decides anything.
-constexpr Millis DemandLearningTime{200};
+constexpr Millis DemandLearnTime{200};
 /// Within this time agents and engines report to a new leader which weights
 /// each engine has. An engine that has not reported by then, for example
 /// because its agent is gone, is no longer waited for.
-constexpr Millis WeightsLearningTime{2'500};
+constexpr Millis WeightsLearnTimeout{2'500};
 /// Fraction of the store's permitted load rate that is used; the rest covers
 /// loads that an earlier leader ordered.
 constexpr double StoreRateFraction = 0.75;
@@ -108,16 +108,16 @@
     const PendingOrder &order = it.second;
     auto known = State.Directory.Endpoints.find(order.Endpoint);
     auto holder = State.Directory.IdByAddress.find(it.first);
-    bool isThere = known != State.Directory.Endpoints.end() &&
-                   holder != State.Directory.IdByAddress.end() &&
-                   holder->second == order.Endpoint &&
-                   isServing(known->second, Now);
-    if (!isThere)
+    bool isPresent = known != State.Directory.Endpoints.end() &&
+                     holder != State.Directory.IdByAddress.end() &&
+                     holder->second == order.Endpoint &&
+                     isServing(known->second, Now);
+    if (!isPresent)
       logEvent(LogLevel::Info, "order_lost",
                {{"order", std::to_string(order.Number)},
                 {"endpoint", order.Endpoint},
                 {"model", order.Model}});
-    return !isThere;
+    return !isPresent;
   });
 }
 
@@ -169,7 +169,7 @@
 /// memory or on disk. Until then no model is assumed to be in the store only.
 bool areWeightsKnown(const LeaderState &Leader, const FrontState &State,
                      TimePoint Now) {
-  if (Now - Leader.LeaderSince >= WeightsLearningTime)
+  if (Now - Leader.LeaderSince >= WeightsLearnTimeout)
     return true;
   if (!isPast(State.EndpointsKnownAt, Now))
     return false;
@@ -242,7 +242,7 @@
       if (isFinished(order->second, *engine, Now)) {
         recordStoreLoadTime(Leader, order->second, *engine, Spec, Now);
         if (engine->Models.contains(order->second.Model))
-          Leader.ProtectedUntil[{id, order->second.Model}] =
+          Leader.JustLoadedUntil[{id, order->second.Model}] =
               Now + EvictionProtectionTime;
         Leader.Orders.erase(order);
       } else {
@@ -270,8 +270,8 @@
       out.StoreLoadsInProgress += !hasWeights(*engine, engine->Loading);
     }
     for (const std::string &it : plan.Models)
-      if (auto protection = Leader.ProtectedUntil.find({id, it});
-          protection != Leader.ProtectedUntil.end())
+      if (auto justLoaded = Leader.JustLoadedUntil.find({id, it});
+          justLoaded != Leader.JustLoadedUntil.end())
         plan.Fresh.insert(it);
     out.Engines.push_back(std::move(plan));
     out.Endpoints.push_back(&known);
@@ -333,7 +333,7 @@
   Leader.Term = Term;
   Leader.LeaderSince = Now;
   Leader.Orders.clear();
-  Leader.ProtectedUntil.clear();
+  Leader.JustLoadedUntil.clear();
   Leader.Pools.clear();
   // Higher than all order numbers of earlier terms.
   Leader.NextOrderNumber = (Term << OrderTermShift) + 1;
@@ -353,12 +353,12 @@
 void planPlacement(LeaderState &Leader, FrontState &State, TimePoint Now,
                    NodeMessages &Out) {
   if (!isPast(Leader.NextPlanAt, Now) ||
-      Now - Leader.LeaderSince < DemandLearningTime || !State.Table)
+      Now - Leader.LeaderSince < DemandLearnTime || !State.Table)
     return;
   Leader.NextPlanAt = Now + PlanPeriod;
   auto demand = sumDemand(Leader, Now);
   dropLostOrders(Leader, State, Now);
-  std::erase_if(Leader.ProtectedUntil,
+  std::erase_if(Leader.JustLoadedUntil,
                 [&](const auto &it) { return isPast(it.second, Now); });
   bool mayUseStore = areWeightsKnown(Leader, State, Now);
   for (const auto &[name, service] : State.Table->Services) {
@@ -385,7 +385,7 @@
 void divideRates(LeaderState &Leader, FrontState &State, TimePoint Now,
                  NodeMessages &Out) {
   if (!isPast(Leader.NextSharesAt, Now) || !State.Table ||
-      Now - Leader.LeaderSince < DemandLearningTime)
+      Now - Leader.LeaderSince < DemandLearnTime)
     return;
   Leader.NextSharesAt = Now + SharePeriod;
   std::vector<std::string> fronts{State.Self.name()};
--- a/front/leader_work.h
+++ b/front/leader_work.h
@@ -38,7 +38,7 @@
   std::map<std::string, QuotaPool> Pools;     ///< By organisation.
   std::map<std::string, PendingOrder> Orders; ///< By engine address.
   /// Until when a newly loaded model is not evicted, by engine and model.
-  std::map<std::pair<std::string, std::string>, TimePoint> ProtectedUntil;
+  std::map<std::pair<std::string, std::string>, TimePoint> JustLoadedUntil;
   uint64_t NextOrderNumber = 1;
   uint64_t NextSharesNumber = 1;
   StorePace StoreEstimate;
--- a/front/leaderless_wish.cpp
+++ b/front/leaderless_wish.cpp
@@ -11,7 +11,7 @@
 constexpr Millis RequestInterval{250};
 /// An engine whose agent has not reported for this long, which is several of
 /// its report periods, may have changed and is not considered.
-constexpr Millis ReportLifetime{2'500};
+constexpr Millis AgentReportLifetime{2'500};
 /// The order expires after the load time plus this allowance.
 constexpr Millis OrderSlack{1'000};
 
@@ -58,7 +58,7 @@
   // before its engine has announced itself to this front.
   for (const auto &[address, reading] : State.Directory.Readings) {
     const EngineState &engine = reading.State;
-    if (engine.IsSilent || Now - engine.ReadAt > ReportLifetime)
+    if (engine.IsSilent || Now - engine.ReadAt > AgentReportLifetime)
       continue;
     if (engine.Loading == name || engine.Models.contains(name))
       return std::nullopt;
