--- a/front/admission.cpp
+++ b/front/admission.cpp
@@ -33,7 +33,7 @@
 
 /// Callers with a long timeout ask for what is worth waiting for; large
 /// requests count for more, within bounds.
-double worthOf(const ServingRoute &Route, const RequestFacts &Facts) {
+double worthOf(const ServingRoute &Route, const RequestAttributes &Facts) {
   double patience =
       std::clamp(std::pow(static_cast<double>(Route.Timeout.count()) /
                               static_cast<double>(UsualTimeout.count()),
@@ -46,7 +46,8 @@
   return patience * (0.3 + 0.7 * std::min(size / MeanSize, 4.0));
 }
 
-double costOf(const OrganisationSpec &Organisation, const RequestFacts &Facts) {
+double costOf(const OrganisationSpec &Organisation,
+              const RequestAttributes &Facts) {
   if (!Organisation.CountsTokens)
     return 1;
   if (!Facts.HasTokenCounts)
@@ -74,7 +75,7 @@
 } // namespace
 
 std::variant<FrontRequest, FrontRefusal>
-admitRequest(FrontState &State, RequestFacts Facts, TimePoint Now) {
+admitRequest(FrontState &State, RequestAttributes Facts, TimePoint Now) {
   if (!State.Table)
     return FrontRefusal{RefusalReason::TableUnknown, UnknownTableRetry};
   if (Facts.Host.empty())
--- a/front/admission.h
+++ b/front/admission.h
@@ -14,7 +14,7 @@
 namespace sassafras {
 
 /// What a request says of itself, in the fleet's terms.
-struct RequestFacts {
+struct RequestAttributes {
   std::string Id;
   std::string Method;
   std::string Host;
@@ -33,7 +33,7 @@
 /// A request that was taken. Exactly one outcome ends it.
 struct FrontRequest {
   uint64_t Number = 0;
-  RequestFacts Facts;
+  RequestAttributes Facts;
   ServingTablePtr Table; ///< In force when it came; holds Route.
   const ServingRoute *Route = nullptr;
   std::string Service;
@@ -63,7 +63,7 @@
 /// Takes or refuses a request by the table in force. Pure but for the random
 /// place in a split.
 std::variant<FrontRequest, FrontRefusal>
-admitRequest(FrontState &State, RequestFacts Facts, TimePoint Now);
+admitRequest(FrontState &State, RequestAttributes Facts, TimePoint Now);
 
 } // namespace sassafras
 
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -71,7 +71,7 @@
                    const std::shared_ptr<HttpExchange> &Exchange,
                    TimePoint ArrivedAt);
   void takeEarly(TimePoint Now);
-  void refuseAtDoor(const RequestFacts &Facts, const FrontRefusal &Refusal,
+  void refuseAtDoor(const RequestAttributes &Facts, const FrontRefusal &Refusal,
                     HttpExchange &Exchange);
   void takeLoss(const HttpExchange *Exchange, HttpLoss Loss);
   void takeMessage(wire::Envelope Message);
@@ -257,7 +257,7 @@
                              TimePoint ArrivedAt) {
   TimePoint now = Clock::now();
   platform::CallerFields fields = platform::takeCallerFields(Request);
-  RequestFacts facts;
+  RequestAttributes facts;
   facts.Id = fields.RequestId;
   facts.Method = Request.Method;
   facts.Host = fields.Host;
@@ -293,7 +293,7 @@
       ->start();
 }
 
-void FrontShell::refuseAtDoor(const RequestFacts &Facts,
+void FrontShell::refuseAtDoor(const RequestAttributes &Facts,
                               const FrontRefusal &Refusal,
                               HttpExchange &Exchange) {
   std::string reason(nameOf(Refusal.Reason));
--- a/tests/front/test_dispatch.cpp
+++ b/tests/front/test_dispatch.cpp
@@ -83,8 +83,9 @@
   applySighting(State.Directory, it, Start);
 }
 
-RequestFacts facts(const std::string &Path, const std::string &Model = "m") {
-  RequestFacts out;
+RequestAttributes facts(const std::string &Path,
+                        const std::string &Model = "m") {
+  RequestAttributes out;
   out.Id = "id";
   out.Host = "h";
   out.Path = Path;
@@ -246,14 +247,14 @@
 TEST_CASE("request is refused at the door for each cause") {
   struct Case {
     const char *What;
-    RequestFacts Facts;
+    RequestAttributes Facts;
     RefusalReason Reason;
   };
-  RequestFacts noKey = facts("/safe/x");
+  RequestAttributes noKey = facts("/safe/x");
   noKey.Key.clear();
-  RequestFacts wrongKey = facts("/safe/x");
+  RequestAttributes wrongKey = facts("/safe/x");
   wrongKey.Key = "other";
-  RequestFacts noHost = facts("/safe/x");
+  RequestAttributes noHost = facts("/safe/x");
   noHost.Host.clear();
   const Case cases[] = {
       {"no key", noKey, RefusalReason::KeyMissing},
