--- a/front/admission.cpp
+++ b/front/admission.cpp
@@ -33,32 +33,33 @@
 
 /// Callers with a long timeout ask for what is worth waiting for; large
 /// requests count for more, within bounds.
-double worthOf(const ServingRoute &Route, const RequestAttributes &Facts) {
+double worthOf(const ServingRoute &Route, const RequestAttributes &Attributes) {
   double patience =
       std::clamp(std::pow(static_cast<double>(Route.Timeout.count()) /
                               static_cast<double>(UsualTimeout.count()),
                           PatienceExponent),
                  LeastWorth, MostWorth);
-  if (!Facts.HasTokenCounts)
+  if (!Attributes.HasTokenCounts)
     return patience;
-  double size = static_cast<double>(Facts.PromptTokens) +
-                OutputTokenWeight * static_cast<double>(Facts.OutputTokens);
+  double size =
+      static_cast<double>(Attributes.PromptTokens) +
+      OutputTokenWeight * static_cast<double>(Attributes.OutputTokens);
   return patience * (0.3 + 0.7 * std::min(size / MeanSize, 4.0));
 }
 
 double costOf(const OrganisationSpec &Organisation,
-              const RequestAttributes &Facts) {
+              const RequestAttributes &Attributes) {
   if (!Organisation.CountsTokens)
     return 1;
-  if (!Facts.HasTokenCounts)
+  if (!Attributes.HasTokenCounts)
     return static_cast<double>(Organisation.PlainTokens);
-  return static_cast<double>(Facts.PromptTokens + Facts.OutputTokens);
+  return static_cast<double>(Attributes.PromptTokens + Attributes.OutputTokens);
 }
 
 void setTimes(FrontRequest &Request, TimePoint Now) {
   const ServingRoute &route = *Request.Route;
-  Millis left = Request.Facts.TimeLeft
-                    ? std::min(*Request.Facts.TimeLeft, route.Timeout)
+  Millis left = Request.Attributes.TimeLeft
+                    ? std::min(*Request.Attributes.TimeLeft, route.Timeout)
                     : route.Timeout;
   Request.ArrivedAt = Now;
   Request.Deadline = Now + left;
@@ -75,13 +76,13 @@
 } // namespace
 
 std::variant<FrontRequest, FrontRefusal>
-admitRequest(FrontState &State, RequestAttributes Facts, TimePoint Now) {
+admitRequest(FrontState &State, RequestAttributes Attributes, TimePoint Now) {
   if (!State.Table)
     return FrontRefusal{RefusalReason::TableUnknown, UnknownTableRetry};
-  if (Facts.Host.empty())
+  if (Attributes.Host.empty())
     return FrontRefusal{RefusalReason::BadRequest, {}};
   const ServingRoute *route =
-      findRoute(*State.Table, Facts.Host, pathOf(Facts.Path));
+      findRoute(*State.Table, Attributes.Host, pathOf(Attributes.Path));
   if (!route)
     return FrontRefusal{RefusalReason::RouteUnknown, {}};
   FrontRequest out;
@@ -89,15 +90,15 @@
   out.Route = route;
   uint32_t organisationPriority = 0;
   const OrganisationSpec *organisation =
-      findOrganisation(*State.Table, Facts.Key);
+      findOrganisation(*State.Table, Attributes.Key);
   bool isKeyed = !State.Table->Organisations.empty() && !route->IsOpen;
   if (isKeyed && !organisation)
-    return FrontRefusal{Facts.Key.empty() ? RefusalReason::KeyMissing
-                                          : RefusalReason::KeyUnknown,
+    return FrontRefusal{Attributes.Key.empty() ? RefusalReason::KeyMissing
+                                               : RefusalReason::KeyUnknown,
                         {}};
   if (organisation) {
     out.Organisation = organisation->Name;
-    out.Cost = costOf(*organisation, Facts);
+    out.Cost = costOf(*organisation, Attributes);
     organisationPriority = organisation->Priority;
   }
   out.Urgency = std::min(organisationPriority * RoutePriorities +
@@ -108,9 +109,9 @@
   out.IsRepeatable =
       route->Kind == RequestKind::Idempotent ||
       (route->Kind == RequestKind::Streaming && route->IsResumable);
-  out.Worth = worthOf(*route, Facts);
-  out.LastEvent = Facts.LastEvent;
-  out.Facts = std::move(Facts);
+  out.Worth = worthOf(*route, Attributes);
+  out.LastEvent = Attributes.LastEvent;
+  out.Attributes = std::move(Attributes);
   setTimes(out, Now);
   return out;
 }
--- a/front/admission.h
+++ b/front/admission.h
@@ -33,7 +33,7 @@
 /// A request that was taken. Exactly one outcome ends it.
 struct FrontRequest {
   uint64_t Number = 0;
-  RequestAttributes Facts;
+  RequestAttributes Attributes;
   ServingTablePtr Table; ///< In force when it came; holds Route.
   const ServingRoute *Route = nullptr;
   std::string Service;
@@ -63,7 +63,7 @@
 /// Takes or refuses a request by the table in force. Pure but for the random
 /// place in a split.
 std::variant<FrontRequest, FrontRefusal>
-admitRequest(FrontState &State, RequestAttributes Facts, TimePoint Now);
+admitRequest(FrontState &State, RequestAttributes Attributes, TimePoint Now);
 
 } // namespace sassafras
 
--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -59,10 +59,10 @@
 };
 
 bool hasAdapter(const EngineState &Engine, const FrontRequest &Request) {
-  auto model = Engine.Models.find(Request.Facts.Model);
+  auto model = Engine.Models.find(Request.Attributes.Model);
   return model != Engine.Models.end() &&
-         (Request.Facts.Adapter.empty() ||
-          model->second.contains(Request.Facts.Adapter));
+         (Request.Attributes.Adapter.empty() ||
+          model->second.contains(Request.Attributes.Adapter));
 }
 
 EndpointCandidate makeCandidate(FrontState &State, const FrontRequest &Request,
@@ -72,10 +72,10 @@
   out.Zone = Known.Zone;
   out.Slots = Known.Slots;
   out.IsSlow = !isPast(Known.SlowUntil, Now);
-  if (!Request.Facts.PromptHead.empty())
+  if (!Request.Attributes.PromptHead.empty())
     out.Affinity =
-        static_cast<double>(checksumOf(Request.Facts.PromptHead + Known.Id) %
-                            1'000) /
+        static_cast<double>(
+            checksumOf(Request.Attributes.PromptHead + Known.Id) % 1'000) /
         1'000.0;
   out.Record = &State.Records[Known.Id];
   return out;
@@ -94,7 +94,7 @@
     if (IsEngine) {
       if (!engine || engine->IsSilent)
         continue;
-      const std::string &model = Request.Facts.Model;
+      const std::string &model = Request.Attributes.Model;
       out.IsNear = out.IsNear || engine->OnDisk.contains(model) ||
                    engine->InMemory.contains(model);
       if (!engine->Models.contains(model))
@@ -121,8 +121,8 @@
     if (Found.Engines[i]->Agent.empty() || isFull ||
         !isPast(it.Record->PausedUntil, Now))
       continue;
-    uint64_t rank = checksumOf(Request.Facts.Model + '/' +
-                               Request.Facts.Adapter + '@' + it.Id);
+    uint64_t rank = checksumOf(Request.Attributes.Model + '/' +
+                               Request.Attributes.Adapter + '@' + it.Id);
     if (best && rank <= bestRank)
       continue;
     best = i;
@@ -132,8 +132,8 @@
   if (!best || !spec)
     return std::nullopt;
   const KnownEndpoint &target = *Found.Endpoints[*best];
-  std::string key =
-      target.Id + '/' + Request.Facts.Model + '/' + Request.Facts.Adapter;
+  std::string key = target.Id + '/' + Request.Attributes.Model + '/' +
+                    Request.Attributes.Adapter;
   TimePoint &next = State.AdapterWishes[key];
   if (!isPast(next, Now))
     return std::nullopt;
@@ -142,14 +142,14 @@
   out.Agent = Found.Engines[*best]->Agent;
   out.Wish.set_engine_address(target.Address);
   out.Wish.set_endpoint(target.Id);
-  out.Wish.set_model(Request.Facts.Model);
-  out.Wish.set_adapter(Request.Facts.Adapter);
+  out.Wish.set_model(Request.Attributes.Model);
+  out.Wish.set_adapter(Request.Attributes.Adapter);
   *out.Wish.mutable_sizes() = sizesFor(*spec);
   return out;
 }
 
 void keepAdapterHolders(const FrontRequest &Request, Field &Found) {
-  if (Request.Facts.Adapter.empty())
+  if (Request.Attributes.Adapter.empty())
     return;
   Field kept = Found;
   kept.Candidates.clear();
@@ -211,7 +211,7 @@
     return std::max(std::chrono::duration_cast<Millis>(Row.ReadyAt - Now),
                     LoadOverhead);
   const EngineSpec *spec = engineSpecOf(State, Request.Service);
-  auto model = spec->Models.find(Request.Facts.Model);
+  auto model = spec->Models.find(Request.Attributes.Model);
   if (model == spec->Models.end())
     return Millis::max();
   bool mayBeNear = Found.IsNear || isForecastDue(State, Request, Now);
@@ -224,7 +224,7 @@
 DispatchResult awaitModel(FrontState &State, FrontRequest &Request,
                           const Field &Found, TimePoint Now) {
   DispatchResult out;
-  RowUse &row = State.Rows[Request.Facts.Model];
+  RowUse &row = State.Rows[Request.Attributes.Model];
   Millis left = predictLoad(State, Request, Found, row, Now);
   if (left == Millis::max()) {
     out.Decision = refuse(State, RefusalReason::NoCapacity, LoadOverhead);
@@ -234,12 +234,12 @@
     row.WantedUntil = Now + std::clamp(left, State.Limits.WishMemory,
                                        State.Limits.MostWishMemory);
     row.WantedWorth = Request.Worth;
-    out.Wish = wishForModel(row, Request.Facts.Model, Now);
+    out.Wish = wishForModel(row, Request.Attributes.Model, Now);
     out.Decision = refuse(State, RefusalReason::DeadlineUnreachable, left);
     return out;
   }
   noteWaiting(row, Request, Now);
-  out.Wish = wishForModel(row, Request.Facts.Model, Now);
+  out.Wish = wishForModel(row, Request.Attributes.Model, Now);
   out.Load = askWithoutLeader(State, Request, Now);
   out.Decision = WaitUntil{Now + WaitPeriod};
   return out;
@@ -259,8 +259,8 @@
 DispatchResult awaitSlot(FrontState &State, FrontRequest &Request,
                          const Field &Found, bool IsEngine, TimePoint Now) {
   DispatchResult out;
-  RowUse &row =
-      State.Rows[IsEngine ? Request.Facts.Model : "service " + Request.Service];
+  RowUse &row = State.Rows[IsEngine ? Request.Attributes.Model
+                                    : "service " + Request.Service];
   size_t ahead = row.Waiting.size() * countFronts(State, Now);
   Millis wait =
       predictQueue(Found, ahead, IsEngine ? MeanService : MeanPlainService);
@@ -272,7 +272,7 @@
   }
   noteWaiting(row, Request, Now);
   if (IsEngine)
-    out.Wish = wishForModel(row, Request.Facts.Model, Now);
+    out.Wish = wishForModel(row, Request.Attributes.Model, Now);
   out.Decision = WaitUntil{Now + WaitPeriod};
   return out;
 }
@@ -283,7 +283,7 @@
     return std::to_string(static_cast<int64_t>(Value));
   };
   logEvent(LogLevel::Info, "quota_refused",
-           {{"id", Request.Facts.Id},
+           {{"id", Request.Attributes.Id},
             {"organisation", Request.Organisation},
             {"cost", round(Request.Cost)},
             {"level", round(Quota.Level)},
@@ -333,7 +333,7 @@
     return std::nullopt;
   // The limit in force now, not the one at arrival, is what binds.
   const OrganisationSpec *organisation =
-      findOrganisation(*State.Table, Request.Facts.Key);
+      findOrganisation(*State.Table, Request.Attributes.Key);
   if (!organisation)
     return FrontRefusal{RefusalReason::KeyUnknown, {}};
   LocalQuota &quota = State.Quotas[organisation->Name];
@@ -431,7 +431,7 @@
     return out;
   }
   const EngineSpec *spec = engineSpecOf(State, Request.Service);
-  bool isEngine = spec && !Request.Facts.Model.empty();
+  bool isEngine = spec && !Request.Attributes.Model.empty();
   Field found = surveyEndpoints(State, Request, isEngine, Now);
   if (found.Usable == 0 && !Request.Tried.empty()) {
     // All have failed it once; whichever is there may try again.
@@ -452,7 +452,7 @@
   }
   if (isEngine && found.ModelHolders == 0)
     return awaitModel(State, Request, found, Now);
-  if (isEngine && !Request.Facts.Adapter.empty()) {
+  if (isEngine && !Request.Attributes.Adapter.empty()) {
     Field all = found;
     keepAdapterHolders(Request, found);
     if (!chooseEndpoint(found.Candidates, State.Self.zone(), 0, Now))
@@ -497,9 +497,9 @@
 
 RowUse &rowOf(FrontState &State, const FrontRequest &Request) {
   bool isEngine = engineSpecOf(State, Request.Service) != nullptr &&
-                  !Request.Facts.Model.empty();
+                  !Request.Attributes.Model.empty();
   return State
-      .Rows[isEngine ? Request.Facts.Model : "service " + Request.Service];
+      .Rows[isEngine ? Request.Attributes.Model : "service " + Request.Service];
 }
 
 } // namespace
@@ -607,13 +607,13 @@
   if (known == State.Directory.Endpoints.end())
     return;
   auto forget = [&](EngineState &Engine) {
-    auto model = Engine.Models.find(Request.Facts.Model);
+    auto model = Engine.Models.find(Request.Attributes.Model);
     if (model == Engine.Models.end())
       return;
-    if (Request.Facts.Adapter.empty())
+    if (Request.Attributes.Adapter.empty())
       Engine.Models.erase(model);
     else
-      model->second.erase(Request.Facts.Adapter);
+      model->second.erase(Request.Attributes.Adapter);
   };
   auto reading = State.Directory.Readings.find(known->second.Address);
   if (reading != State.Directory.Readings.end())
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -71,8 +71,8 @@
                    const std::shared_ptr<HttpExchange> &Exchange,
                    TimePoint ArrivedAt);
   void takeEarly(TimePoint Now);
-  void refuseAtDoor(const RequestAttributes &Facts, const FrontRefusal &Refusal,
-                    HttpExchange &Exchange);
+  void refuseAtDoor(const RequestAttributes &Attributes,
+                    const FrontRefusal &Refusal, HttpExchange &Exchange);
   void takeLoss(const HttpExchange *Exchange, HttpLoss Loss);
   void takeMessage(wire::Envelope Message);
   void takeHello(const wire::Envelope &Message);
@@ -278,8 +278,8 @@
   }
   auto &request = std::get<FrontRequest>(admitted);
   request.Number = Core.NextNumber++;
-  if (!request.Facts.Model.empty()) {
-    RowUse &row = Core.State.Rows[request.Facts.Model];
+  if (!request.Attributes.Model.empty()) {
+    RowUse &row = Core.State.Rows[request.Attributes.Model];
     ++row.Arrivals;
     row.Worth += request.Worth;
   }
@@ -293,20 +293,20 @@
       ->start();
 }
 
-void FrontShell::refuseAtDoor(const RequestAttributes &Facts,
+void FrontShell::refuseAtDoor(const RequestAttributes &Attributes,
                               const FrontRefusal &Refusal,
                               HttpExchange &Exchange) {
   std::string reason(nameOf(Refusal.Reason));
   Counts.count("refusals_total", "reason=\"" + reason + "\"");
   uint64_t version = Core.State.Table ? Core.State.Table->Version : 0;
   logEvent(LogLevel::Info, "request_refused",
-           {{"id", Facts.Id},
+           {{"id", Attributes.Id},
             {"reason", reason},
-            {"host", Facts.Host},
-            {"path", Facts.Path},
+            {"host", Attributes.Host},
+            {"path", Attributes.Path},
             {"table", std::to_string(version)}});
   std::vector<HttpField> fields{{"content-type", "application/json"},
-                                platform::printRequestId(Facts.Id)};
+                                platform::printRequestId(Attributes.Id)};
   if (Refusal.RetryAfter)
     fields.push_back(platform::printRetryAfter(*Refusal.RetryAfter));
   Exchange.respond(statusOf(Refusal.Reason), std::move(fields),
--- a/front/leaderless_wish.cpp
+++ b/front/leaderless_wish.cpp
@@ -45,7 +45,7 @@
                                             const FrontRequest &Request,
                                             TimePoint Now) {
   const EngineSpec *spec = engineSpecOf(State, Request.Service);
-  const std::string &name = Request.Facts.Model;
+  const std::string &name = Request.Attributes.Model;
   RowUse &row = State.Rows[name];
   if (!spec || !spec->Models.contains(name) || !isPast(row.NextAsk, Now) ||
       !isLeaderless(State, Request, row, Now))
--- a/front/relay.cpp
+++ b/front/relay.cpp
@@ -36,7 +36,7 @@
                         const FrontRefusal &Refusal) {
   return R"({"error":{"reason":")" + std::string(nameOf(Refusal.Reason)) +
          R"(","ran":")" + (Request.Runs > 0 ? "unknown" : "not_run") +
-         R"(","request":")" + Request.Facts.Id + "\"}}\n";
+         R"(","request":")" + Request.Attributes.Id + "\"}}\n";
 }
 
 } // namespace
@@ -100,7 +100,7 @@
   }
   if (Result.Load) {
     logEvent(LogLevel::Info, "load_asked",
-             {{"id", Request.Facts.Id},
+             {{"id", Request.Attributes.Id},
               {"model", Result.Load->Order.load()},
               {"engine", Result.Load->Order.engine_address()},
               {"leader", Core.State.Leader.Node}});
@@ -157,7 +157,7 @@
 /// not reach the caller.
 bool Relay::isTrusted(const HttpHead &Head) const {
   auto fields = platform::readAnswerFields(Head.Status, Head.Fields);
-  if (fields.RequestId != Request.Facts.Id)
+  if (fields.RequestId != Request.Attributes.Id)
     return fields.RequestId.empty() && !isSuccess(Head.Status);
   return fields.IsSealed || !isSuccess(Head.Status);
 }
@@ -325,7 +325,7 @@
     Core.Counts.count("retries_total",
                       "reason=\"" + std::string(nameOf(*after.Why)) + "\"");
     logEvent(LogLevel::Info, "request_retried",
-             {{"id", Request.Facts.Id},
+             {{"id", Request.Attributes.Id},
               {"reason", std::string(nameOf(*after.Why))},
               {"endpoint", Endpoint},
               {"address", Target.Address},
@@ -355,8 +355,9 @@
     abandon(std::string(nameOf(Refusal.Reason)).c_str());
     return;
   }
-  std::vector<HttpField> fields{{"content-type", "application/json"},
-                                platform::printRequestId(Request.Facts.Id)};
+  std::vector<HttpField> fields{
+      {"content-type", "application/json"},
+      platform::printRequestId(Request.Attributes.Id)};
   RetryAfter = Refusal.RetryAfter;
   if (RetryAfter)
     fields.push_back(platform::printRetryAfter(*RetryAfter));
@@ -414,14 +415,15 @@
   TimePoint now = Clock::now();
   logEvent(
       LogLevel::Info, "request_done",
-      {{"id", Request.Facts.Id},
+      {{"id", Request.Attributes.Id},
        {"outcome", Outcome},
        {"status", std::to_string(Status)},
        {"route", Request.Route->Name},
        {"organisation", Request.Organisation},
-       {"model", Request.Facts.Adapter.empty()
-                     ? Request.Facts.Model
-                     : Request.Facts.Model + "/" + Request.Facts.Adapter},
+       {"model",
+        Request.Attributes.Adapter.empty()
+            ? Request.Attributes.Model
+            : Request.Attributes.Model + "/" + Request.Attributes.Adapter},
        {"endpoint", Endpoint},
        {"address", Target.Address},
        {"load", std::to_string(static_cast<int>(Target.Load))},
--- a/tests/front/test_dispatch.cpp
+++ b/tests/front/test_dispatch.cpp
@@ -247,7 +247,7 @@
 TEST_CASE("request is refused at the door for each cause") {
   struct Case {
     const char *What;
-    RequestAttributes Facts;
+    RequestAttributes Attributes;
     RefusalReason Reason;
   };
   RequestAttributes noKey = facts("/safe/x");
@@ -265,7 +265,7 @@
   for (const Case &it : cases) {
     INFO(it.What);
     FrontState state = makeState();
-    auto out = admitRequest(state, it.Facts, Start);
+    auto out = admitRequest(state, it.Attributes, Start);
     auto *refusal = std::get_if<FrontRefusal>(&out);
     REQUIRE(refusal);
     CHECK(refusal->Reason == it.Reason);
