--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -325,7 +325,7 @@
   if (relay == Core.Relays.end())
     return;
   std::shared_ptr<Relay> kept = relay->second;
-  kept->loseCaller(Loss);
+  kept->handleCallerLoss(Loss);
   HasChanged = true;
 }
 
--- a/front/relay.cpp
+++ b/front/relay.cpp
@@ -392,7 +392,7 @@
           StoppingRetry});
 }
 
-void Relay::loseCaller(HttpLoss Loss) {
+void Relay::handleCallerLoss(HttpLoss Loss) {
   if (IsOver)
     return;
   if (Call) {
--- a/front/relay.h
+++ b/front/relay.h
@@ -29,7 +29,7 @@
   /// with \p IsFinal what runs is broken off too.
   void stop(bool IsFinal);
   /// The caller has closed its connection, or does not read.
-  void loseCaller(HttpLoss Loss);
+  void handleCallerLoss(HttpLoss Loss);
 
 private:
   void armDeadline(TimePoint At);
