--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -525,8 +525,8 @@
   noteClosed(State.Records[Endpoint]);
 }
 
-void takeQuotaGrant(FrontState &State, const wire::QuotaGrant &Grant,
-                    TimePoint Now) {
+void applyQuotaGrant(FrontState &State, const wire::QuotaGrant &Grant,
+                     TimePoint Now) {
   if (Grant.term() < State.SharesTerm)
     return;
   State.PoolHeardAt = Now;
--- a/front/dispatch.h
+++ b/front/dispatch.h
@@ -83,8 +83,8 @@
                                 TimePoint Now);
 
 /// Takes what the leader answered to a wish for tokens.
-void takeQuotaGrant(FrontState &State, const wire::QuotaGrant &Grant,
-                    TimePoint Now);
+void applyQuotaGrant(FrontState &State, const wire::QuotaGrant &Grant,
+                     TimePoint Now);
 
 /// The endpoint said that it does not hold what the request asks for: what
 /// was known of it is out of date.
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -380,7 +380,7 @@
     }
     break;
   case wire::Envelope::kQuotaGrant:
-    takeQuotaGrant(state, Message.quota_grant(), now);
+    applyQuotaGrant(state, Message.quota_grant(), now);
     pumpForTokens(Message.quota_grant().organisation());
     break;
   case wire::Envelope::kBlankHello:
@@ -521,7 +521,7 @@
   }
   TimePoint now = Clock::now();
   if (auto grant = answerQuotaWish(Leader, Core.State, Wish, now))
-    takeQuotaGrant(Core.State, *grant, now);
+    applyQuotaGrant(Core.State, *grant, now);
   HasChanged = true;
 }
 
