--- a/front/early_requests.h
+++ b/front/early_requests.h
@@ -19,7 +19,7 @@
 
 /// A front that has just started learns the table within this: its first
 /// messages to the seeds, a connection made anew, and the answer.
-inline constexpr Millis TableLearnSpan{1'500};
+inline constexpr Millis TableLearnTimeout{1'500};
 /// Requests held at once; each keeps its body in memory.
 inline constexpr size_t MostEarlyRequests = 300;
 
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -144,7 +144,7 @@
     return false;
   FrontState &state = Core.State;
   state.EndpointsKnownAt = StartedAt + AnnouncementSpan;
-  Early.HoldEnd = StartedAt + TableLearnSpan;
+  Early.HoldEnd = StartedAt + TableLearnTimeout;
   state.Self.set_name(Options.Node);
   state.Self.set_address(Peers->address());
   state.Self.set_incarnation(incarnation);
--- a/tests/front/test_early_requests.cpp
+++ b/tests/front/test_early_requests.cpp
@@ -28,7 +28,7 @@
 
 EarlyRequests started() {
   EarlyRequests out;
-  out.HoldEnd = Start + TableLearnSpan;
+  out.HoldEnd = Start + TableLearnTimeout;
   return out;
 }
 
@@ -61,7 +61,7 @@
 TEST_CASE("requests wait for a table no longer than a new front learns it") {
   EarlyRequests early = started();
   CHECK(hold(early, 1, Start));
-  TimePoint end = Start + TableLearnSpan + Millis(1);
+  TimePoint end = Start + TableLearnTimeout + Millis(1);
   CHECK_FALSE(hold(early, 2, end));
   CHECK(releaseEarly(early, false, end).size() == 1);
 }
