--- a/front/early_requests.cpp
+++ b/front/early_requests.cpp
@@ -4,7 +4,8 @@
 
 namespace sassafras {
 
-bool holdEarly(EarlyRequests &Early, EarlyRequest &Request, TimePoint Now) {
+bool holdEarlyRequest(EarlyRequests &Early, EarlyRequest &Request,
+                      TimePoint Now) {
   if (isPast(Early.HoldEnd, Now) || Early.Held.size() >= MostEarlyRequests)
     return false;
   Early.Held.push_back(std::move(Request));
--- a/front/early_requests.h
+++ b/front/early_requests.h
@@ -36,7 +36,8 @@
 
 /// Keeps a request that came at \p Now. False, with \p Request as it was, when
 /// it is to be refused. Not thread safe.
-bool holdEarly(EarlyRequests &Early, EarlyRequest &Request, TimePoint Now);
+bool holdEarlyRequest(EarlyRequests &Early, EarlyRequest &Request,
+                      TimePoint Now);
 /// All that are held, in the order in which they came, when the table is there
 /// or nothing is held any more; else nothing. Not thread safe.
 std::deque<EarlyRequest> releaseEarly(EarlyRequests &Early, bool HasTable,
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -232,7 +232,7 @@
                          const std::shared_ptr<HttpExchange> &Exchange) {
   TimePoint now = Clock::now();
   EarlyRequest request{std::move(Request), Exchange, now};
-  if (!Core.State.Table && holdEarly(Early, request, now)) {
+  if (!Core.State.Table && holdEarlyRequest(Early, request, now)) {
     Counts.count("requests_held_early_total");
     return;
   }
--- a/tests/front/test_early_requests.cpp
+++ b/tests/front/test_early_requests.cpp
@@ -34,7 +34,7 @@
 
 bool hold(EarlyRequests &Early, size_t Position, TimePoint At) {
   EarlyRequest it = request(Position, At);
-  bool isHeld = holdEarly(Early, it, At);
+  bool isHeld = holdEarlyRequest(Early, it, At);
   CHECK(it.Message.Target.empty() == isHeld);
   return isHeld;
 }
