--- a/front/early_requests.cpp
+++ b/front/early_requests.cpp
@@ -12,8 +12,8 @@
   return true;
 }
 
-std::deque<EarlyRequest> releaseEarly(EarlyRequests &Early, bool HasTable,
-                                      TimePoint Now) {
+std::deque<EarlyRequest> releaseEarlyRequests(EarlyRequests &Early,
+                                              bool HasTable, TimePoint Now) {
   if (!HasTable && !isPast(Early.HoldEnd, Now))
     return {};
   return std::exchange(Early.Held, {});
--- a/front/early_requests.h
+++ b/front/early_requests.h
@@ -40,8 +40,8 @@
                       TimePoint Now);
 /// All that are held, in the order in which they came, when the table is there
 /// or nothing is held any more; else nothing. Not thread safe.
-std::deque<EarlyRequest> releaseEarly(EarlyRequests &Early, bool HasTable,
-                                      TimePoint Now);
+std::deque<EarlyRequest> releaseEarlyRequests(EarlyRequests &Early,
+                                              bool HasTable, TimePoint Now);
 /// The caller is gone. False when its request is not held. Not thread safe.
 bool dropEarly(EarlyRequests &Early, const HttpExchange *Exchange);
 
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -241,7 +241,7 @@
 
 /// Takes what waited for the table, or is not to wait for it any longer.
 void FrontShell::takeEarly(TimePoint Now) {
-  auto early = releaseEarly(Early, Core.State.Table != nullptr, Now);
+  auto early = releaseEarlyRequests(Early, Core.State.Table != nullptr, Now);
   if (!early.empty())
     logEvent(LogLevel::Info, "early_requests_taken",
              {{"count", std::to_string(early.size())},
--- a/tests/front/test_early_requests.cpp
+++ b/tests/front/test_early_requests.cpp
@@ -47,15 +47,15 @@
   EarlyRequests early = started();
   for (size_t i = 0; i < 5; ++i)
     CHECK(hold(early, i, Start + Millis(100 * static_cast<int>(i))));
-  CHECK(releaseEarly(early, false, Start + Millis(600)).empty());
+  CHECK(releaseEarlyRequests(early, false, Start + Millis(600)).empty());
   CHECK(dropEarly(early, exchangeAt(2).get()));
   CHECK_FALSE(dropEarly(early, exchangeAt(2).get()));
-  auto taken = releaseEarly(early, true, Start + Millis(600));
+  auto taken = releaseEarlyRequests(early, true, Start + Millis(600));
   REQUIRE(taken.size() == 4);
   CHECK(taken[0].Message.Target == "/0");
   CHECK(taken[2].Message.Target == "/3");
   CHECK(taken[2].ArrivedAt == Start + Millis(300));
-  CHECK(releaseEarly(early, true, Start + Millis(700)).empty());
+  CHECK(releaseEarlyRequests(early, true, Start + Millis(700)).empty());
 }
 
 TEST_CASE("requests wait for a table no longer than a new front learns it") {
@@ -63,7 +63,7 @@
   CHECK(hold(early, 1, Start));
   TimePoint end = Start + TableLearnTimeout + Millis(1);
   CHECK_FALSE(hold(early, 2, end));
-  CHECK(releaseEarly(early, false, end).size() == 1);
+  CHECK(releaseEarlyRequests(early, false, end).size() == 1);
 }
 
 TEST_CASE("front holds a bounded number of early requests") {
