--- a/front/early_requests.cpp
+++ b/front/early_requests.cpp
@@ -19,7 +19,7 @@
   return std::exchange(Early.Held, {});
 }
 
-bool dropEarly(EarlyRequests &Early, const HttpExchange *Exchange) {
+bool dropEarlyRequest(EarlyRequests &Early, const HttpExchange *Exchange) {
   return std::erase_if(Early.Held, [&](const EarlyRequest &it) {
            return it.Exchange.get() == Exchange;
          }) > 0;
--- a/front/early_requests.h
+++ b/front/early_requests.h
@@ -43,7 +43,7 @@
 std::deque<EarlyRequest> releaseEarlyRequests(EarlyRequests &Early,
                                               bool HasTable, TimePoint Now);
 /// The caller is gone. False when its request is not held. Not thread safe.
-bool dropEarly(EarlyRequests &Early, const HttpExchange *Exchange);
+bool dropEarlyRequest(EarlyRequests &Early, const HttpExchange *Exchange);
 
 } // namespace sassafras
 
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -316,7 +316,7 @@
 }
 
 void FrontShell::takeLoss(const HttpExchange *Exchange, HttpLoss Loss) {
-  if (dropEarly(Early, Exchange))
+  if (dropEarlyRequest(Early, Exchange))
     return;
   auto number = Core.ByExchange.find(Exchange);
   if (number == Core.ByExchange.end())
--- a/tests/front/test_early_requests.cpp
+++ b/tests/front/test_early_requests.cpp
@@ -48,8 +48,8 @@
   for (size_t i = 0; i < 5; ++i)
     CHECK(hold(early, i, Start + Millis(100 * static_cast<int>(i))));
   CHECK(releaseEarlyRequests(early, false, Start + Millis(600)).empty());
-  CHECK(dropEarly(early, exchangeAt(2).get()));
-  CHECK_FALSE(dropEarly(early, exchangeAt(2).get()));
+  CHECK(dropEarlyRequest(early, exchangeAt(2).get()));
+  CHECK_FALSE(dropEarlyRequest(early, exchangeAt(2).get()));
   auto taken = releaseEarlyRequests(early, true, Start + Millis(600));
   REQUIRE(taken.size() == 4);
   CHECK(taken[0].Message.Target == "/0");
