--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -165,14 +165,14 @@
   Found = std::move(kept);
 }
 
-void noteWaiting(RowUse &Row, const FrontRequest &Request, TimePoint Now) {
+void noteWaiting(ModelUsage &Row, const FrontRequest &Request, TimePoint Now) {
   if (Row.Waiting.empty())
     Row.WaitingSince = Now;
   if (Row.Waiting.insert(Request.Number).second)
     Row.WaitingWorth += Request.Worth;
 }
 
-void noteServed(RowUse &Row, const FrontRequest &Request) {
+void noteServed(ModelUsage &Row, const FrontRequest &Request) {
   if (Row.Waiting.erase(Request.Number) > 0)
     Row.WaitingWorth -= Request.Worth;
   if (Row.Waiting.empty())
@@ -180,7 +180,7 @@
 }
 
 std::optional<wire::RowDemand>
-wishForModel(RowUse &Row, const std::string &Model, TimePoint Now) {
+wishForModel(ModelUsage &Row, const std::string &Model, TimePoint Now) {
   if (!isPast(Row.NextWish, Now))
     return std::nullopt;
   Row.NextWish = Now + WishPeriod;
@@ -206,7 +206,7 @@
 /// leader said; while it has not, as if the weights were near; then by what is
 /// known here.
 Millis predictLoad(const FrontState &State, const FrontRequest &Request,
-                   const Field &Found, const RowUse &Row, TimePoint Now) {
+                   const Field &Found, const ModelUsage &Row, TimePoint Now) {
   if (Row.ForecastAt != TimePoint() && Now - Row.ForecastAt < ForecastLife)
     return std::max(std::chrono::duration_cast<Millis>(Row.ReadyAt - Now),
                     LoadOverhead);
@@ -224,7 +224,7 @@
 DispatchResult awaitModel(FrontState &State, FrontRequest &Request,
                           const Field &Found, TimePoint Now) {
   DispatchResult out;
-  RowUse &row = State.Rows[Request.Attributes.Model];
+  ModelUsage &row = State.Rows[Request.Attributes.Model];
   Millis left = predictLoad(State, Request, Found, row, Now);
   if (left == Millis::max()) {
     out.Decision = refuse(State, RefusalReason::NoCapacity, LoadOverhead);
@@ -259,8 +259,8 @@
 DispatchResult awaitSlot(FrontState &State, FrontRequest &Request,
                          const Field &Found, bool IsEngine, TimePoint Now) {
   DispatchResult out;
-  RowUse &row = State.Rows[IsEngine ? Request.Attributes.Model
-                                    : "service " + Request.Service];
+  ModelUsage &row = State.Rows[IsEngine ? Request.Attributes.Model
+                                        : "service " + Request.Service];
   size_t ahead = row.Waiting.size() * countFronts(State, Now);
   Millis wait =
       predictQueue(Found, ahead, IsEngine ? MeanService : MeanPlainService);
@@ -495,7 +495,7 @@
 
 namespace {
 
-RowUse &rowOf(FrontState &State, const FrontRequest &Request) {
+ModelUsage &rowOf(FrontState &State, const FrontRequest &Request) {
   bool isEngine = engineSpecOf(State, Request.Service) != nullptr &&
                   !Request.Attributes.Model.empty();
   return State
@@ -506,7 +506,7 @@
 
 void noteDispatched(FrontState &State, FrontRequest &Request,
                     const std::string &Endpoint) {
-  RowUse &row = rowOf(State, Request);
+  ModelUsage &row = rowOf(State, Request);
   noteServed(row, Request);
   ++row.Open;
   ++row.OpenAt[Endpoint];
@@ -516,7 +516,7 @@
 
 void noteExchangeOver(FrontState &State, const FrontRequest &Request,
                       const std::string &Endpoint) {
-  RowUse &row = rowOf(State, Request);
+  ModelUsage &row = rowOf(State, Request);
   if (row.Open > 0)
     --row.Open;
   auto at = row.OpenAt.find(Endpoint);
--- a/front/front_state.cpp
+++ b/front/front_state.cpp
@@ -42,7 +42,7 @@
   return &*it->second.Engine;
 }
 
-double agedWaitingWorth(const RowUse &Row, TimePoint Now) {
+double agedWaitingWorth(const ModelUsage &Row, TimePoint Now) {
   double worth = isPast(Row.WantedUntil, Now) ? 0.0 : Row.WantedWorth;
   if (Row.Waiting.empty())
     return worth;
@@ -52,7 +52,7 @@
                   Row.WaitingWorth * (1 + std::clamp(age, 0.0, MostAging)));
 }
 
-void printOpen(const RowUse &Row, wire::RowDemand &Out) {
+void printOpen(const ModelUsage &Row, wire::RowDemand &Out) {
   for (const auto &[endpoint, count] : Row.OpenAt) {
     wire::OpenRequests &open = *Out.add_open();
     open.set_endpoint(endpoint);
--- a/front/front_state.h
+++ b/front/front_state.h
@@ -34,7 +34,7 @@
 };
 
 /// Use of one model at this front.
-struct RowUse {
+struct ModelUsage {
   uint32_t Arrivals = 0;                  ///< Since the last heartbeat.
   double Worth = 0;                       ///< Of those arrivals.
   uint32_t Open = 0;                      ///< Under way at endpoints.
@@ -68,7 +68,7 @@
   std::map<std::string, EndpointRecord> Records; ///< By endpoint id.
   std::map<std::string, LocalQuota> Quotas;
   std::map<std::string, RetryBudget> Retries; ///< By service.
-  std::map<std::string, RowUse> Rows;         ///< By model.
+  std::map<std::string, ModelUsage> Rows;     ///< By model.
   /// When an adapter may be asked for again, by engine and adapter.
   std::map<std::string, TimePoint> AdapterWishes;
   /// Endpoints that are there have announced themselves by then.
@@ -112,9 +112,9 @@
 /// Worth that the leader is told of the requests that wait for a model. It
 /// grows with the time for which they have waited, so that several models which
 /// lie at one engine only are loaded in turn.
-double agedWaitingWorth(const RowUse &Row, TimePoint Now);
+double agedWaitingWorth(const ModelUsage &Row, TimePoint Now);
 /// Adds the requests of \p Row under way at each endpoint.
-void printOpen(const RowUse &Row, wire::RowDemand &Out);
+void printOpen(const ModelUsage &Row, wire::RowDemand &Out);
 /// Sizes that an agent needs to keep within its engine's memory.
 wire::EngineSizes sizesFor(const EngineSpec &Spec);
 
--- a/front/leaderless_wish.cpp
+++ b/front/leaderless_wish.cpp
@@ -17,7 +17,7 @@
 /// True when no leader plans for \p Request: none is known, or the one that
 /// was does not answer.
 bool isLeaderless(const FrontState &State, const FrontRequest &Request,
-                  const RowUse &Row, TimePoint Now) {
+                  const ModelUsage &Row, TimePoint Now) {
   if (State.IsLeading)
     return false;
   if (!hasLeader(State, Now))
@@ -46,7 +46,7 @@
                                             TimePoint Now) {
   const EngineSpec *spec = engineSpecOf(State, Request.Service);
   const std::string &name = Request.Attributes.Model;
-  RowUse &row = State.Rows[name];
+  ModelUsage &row = State.Rows[name];
   if (!spec || !spec->Models.contains(name) || !isPast(row.NextAsk, Now) ||
       !isLeaderless(State, Request, row, Now))
     return std::nullopt;
--- a/tests/front/test_dispatch.cpp
+++ b/tests/front/test_dispatch.cpp
@@ -329,7 +329,7 @@
   FrontRequest request = admit(state, "/stream/x");
   TimePoint now = Start + Millis(50);
   auto patience = std::chrono::duration_cast<Millis>(request.PatienceEnd - now);
-  RowUse &row = state.Rows["m"];
+  ModelUsage &row = state.Rows["m"];
   row.ForecastAt = now;
   row.ReadyAt = now + patience * 3 / 4;
   CHECK(std::holds_alternative<WaitUntil>(
@@ -359,7 +359,7 @@
   request.Deadline = request.PatienceEnd;
   auto told = [&](Millis After) {
     TimePoint now = Start + After;
-    RowUse &row = state.Rows["m"];
+    ModelUsage &row = state.Rows["m"];
     row.ForecastAt = now;
     row.ReadyAt = now + Millis(500);
     row.NextWish = TimePoint();
@@ -383,7 +383,7 @@
   FrontState state = makeState();
   addEndpoint(state, "e1", "chat", "10.0.0.1:80", {}, {"m"});
   FrontRequest request = admit(state, "/stream/x");
-  RowUse &row = state.Rows["m"];
+  ModelUsage &row = state.Rows["m"];
   row.ForecastAt = Start;
   row.ReadyAt = Start + Millis(9'000);
   CHECK(refusalOf(decideDispatch(state, request, Start)));
