--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -224,7 +224,7 @@
 DispatchResult awaitModel(FrontState &State, FrontRequest &Request,
                           const Field &Found, TimePoint Now) {
   DispatchResult out;
-  ModelUsage &row = State.Rows[Request.Attributes.Model];
+  ModelUsage &row = State.ModelUsages[Request.Attributes.Model];
   Millis left = predictLoad(State, Request, Found, row, Now);
   if (left == Millis::max()) {
     out.Decision = refuse(State, RefusalReason::NoCapacity, LoadOverhead);
@@ -259,8 +259,8 @@
 DispatchResult awaitSlot(FrontState &State, FrontRequest &Request,
                          const Field &Found, bool IsEngine, TimePoint Now) {
   DispatchResult out;
-  ModelUsage &row = State.Rows[IsEngine ? Request.Attributes.Model
-                                        : "service " + Request.Service];
+  ModelUsage &row = State.ModelUsages[IsEngine ? Request.Attributes.Model
+                                               : "service " + Request.Service];
   size_t ahead = row.Waiting.size() * countFronts(State, Now);
   Millis wait =
       predictQueue(Found, ahead, IsEngine ? MeanService : MeanPlainService);
@@ -498,8 +498,8 @@
 ModelUsage &rowOf(FrontState &State, const FrontRequest &Request) {
   bool isEngine = engineSpecOf(State, Request.Service) != nullptr &&
                   !Request.Attributes.Model.empty();
-  return State
-      .Rows[isEngine ? Request.Attributes.Model : "service " + Request.Service];
+  return State.ModelUsages[isEngine ? Request.Attributes.Model
+                                    : "service " + Request.Service];
 }
 
 } // namespace
--- a/front/fleet_view.cpp
+++ b/front/fleet_view.cpp
@@ -74,7 +74,7 @@
     demand.set_organisation(name);
     demand.set_tokens_per_s(static_cast<uint64_t>(it.DemandRate));
   }
-  for (auto &[name, it] : State.Rows) {
+  for (auto &[name, it] : State.ModelUsages) {
     bool isWanted = !isPast(it.WantedUntil, Now);
     if (it.Arrivals == 0 && it.Open == 0 && it.Waiting.empty() && !isWanted)
       continue;
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -279,7 +279,7 @@
   auto &request = std::get<FrontRequest>(admitted);
   request.Number = Core.NextNumber++;
   if (!request.Attributes.Model.empty()) {
-    ModelUsage &row = Core.State.Rows[request.Attributes.Model];
+    ModelUsage &row = Core.State.ModelUsages[request.Attributes.Model];
     ++row.Arrivals;
     row.Worth += request.Worth;
   }
--- a/front/front_state.h
+++ b/front/front_state.h
@@ -67,8 +67,8 @@
   EndpointDirectory Directory;
   std::map<std::string, EndpointRecord> Records; ///< By endpoint id.
   std::map<std::string, LocalQuota> Quotas;
-  std::map<std::string, RetryBudget> Retries; ///< By service.
-  std::map<std::string, ModelUsage> Rows;     ///< By model.
+  std::map<std::string, RetryBudget> Retries;    ///< By service.
+  std::map<std::string, ModelUsage> ModelUsages; ///< By model.
   /// When an adapter may be asked for again, by engine and adapter.
   std::map<std::string, TimePoint> AdapterWishes;
   /// Endpoints that are there have announced themselves by then.
--- a/front/leader_work.cpp
+++ b/front/leader_work.cpp
@@ -591,7 +591,7 @@
   if (Forecast.term() < State.Leader.Term)
     return;
   for (const wire::ModelForecast &it : Forecast.models()) {
-    ModelUsage &row = State.Rows[it.model()];
+    ModelUsage &row = State.ModelUsages[it.model()];
     row.ReadyAt = Now + Millis(it.ready_in_ms());
     row.ForecastAt = Now;
   }
--- a/front/leaderless_wish.cpp
+++ b/front/leaderless_wish.cpp
@@ -46,7 +46,7 @@
                                             TimePoint Now) {
   const EngineSpec *spec = engineSpecOf(State, Request.Service);
   const std::string &name = Request.Attributes.Model;
-  ModelUsage &row = State.Rows[name];
+  ModelUsage &row = State.ModelUsages[name];
   if (!spec || !spec->Models.contains(name) || !isPast(row.NextAsk, Now) ||
       !isLeaderless(State, Request, row, Now))
     return std::nullopt;
--- a/tests/front/test_dispatch.cpp
+++ b/tests/front/test_dispatch.cpp
@@ -141,14 +141,14 @@
   CHECK(std::holds_alternative<WaitUntil>(first.Decision));
   CHECK(first.Wish);
   SECTION("the leader knows of near weights") {
-    state.Rows["m"].ForecastAt = Start + Millis(150);
-    state.Rows["m"].ReadyAt = Start + Millis(1'200);
+    state.ModelUsages["m"].ForecastAt = Start + Millis(150);
+    state.ModelUsages["m"].ReadyAt = Start + Millis(1'200);
     auto next = decideDispatch(state, request, Start + Millis(200));
     CHECK(std::holds_alternative<WaitUntil>(next.Decision));
   }
   SECTION("the leader knows of none") {
-    state.Rows["m"].ForecastAt = Start + Millis(150);
-    state.Rows["m"].ReadyAt = Start + Millis(6'200);
+    state.ModelUsages["m"].ForecastAt = Start + Millis(150);
+    state.ModelUsages["m"].ReadyAt = Start + Millis(6'200);
     auto next = decideDispatch(state, request, Start + Millis(200));
     REQUIRE(refusalOf(next));
     CHECK(refusalOf(next)->Reason == RefusalReason::DeadlineUnreachable);
@@ -227,9 +227,9 @@
   CHECK_FALSE(decideDispatch(state, request, Start).Load);
   // The leader fell silent: no forecast came in time.
   CHECK(decideDispatch(state, request, Start + Millis(600)).Load);
-  state.Rows["m"].NextAsk = TimePoint();
-  state.Rows["m"].ForecastAt = Start + Millis(500);
-  state.Rows["m"].ReadyAt = Start + Millis(900);
+  state.ModelUsages["m"].NextAsk = TimePoint();
+  state.ModelUsages["m"].ForecastAt = Start + Millis(500);
+  state.ModelUsages["m"].ReadyAt = Start + Millis(900);
   CHECK_FALSE(decideDispatch(state, request, Start + Millis(600)).Load);
   state.Leader.HeardAt = TimePoint();
   // A leader does not hear itself.
@@ -237,7 +237,7 @@
   CHECK_FALSE(decideDispatch(state, request, Start).Load);
   state.IsLeading = false;
   CHECK(decideDispatch(state, request, Start).Load);
-  state.Rows["m"].NextAsk = TimePoint();
+  state.ModelUsages["m"].NextAsk = TimePoint();
   report(state, "10.0.0.1:7", true, {}, Start);
   CHECK_FALSE(decideDispatch(state, request, Start).Load);
   report(state, "10.0.0.1:7", false, {"of unknown size"}, Start);
@@ -329,7 +329,7 @@
   FrontRequest request = admit(state, "/stream/x");
   TimePoint now = Start + Millis(50);
   auto patience = std::chrono::duration_cast<Millis>(request.PatienceEnd - now);
-  ModelUsage &row = state.Rows["m"];
+  ModelUsage &row = state.ModelUsages["m"];
   row.ForecastAt = now;
   row.ReadyAt = now + patience * 3 / 4;
   CHECK(std::holds_alternative<WaitUntil>(
@@ -359,7 +359,7 @@
   request.Deadline = request.PatienceEnd;
   auto told = [&](Millis After) {
     TimePoint now = Start + After;
-    ModelUsage &row = state.Rows["m"];
+    ModelUsage &row = state.ModelUsages["m"];
     row.ForecastAt = now;
     row.ReadyAt = now + Millis(500);
     row.NextWish = TimePoint();
@@ -383,7 +383,7 @@
   FrontState state = makeState();
   addEndpoint(state, "e1", "chat", "10.0.0.1:80", {}, {"m"});
   FrontRequest request = admit(state, "/stream/x");
-  ModelUsage &row = state.Rows["m"];
+  ModelUsage &row = state.ModelUsages["m"];
   row.ForecastAt = Start;
   row.ReadyAt = Start + Millis(9'000);
   CHECK(refusalOf(decideDispatch(state, request, Start)));
--- a/tests/front/test_fleet_view.cpp
+++ b/tests/front/test_fleet_view.cpp
@@ -38,7 +38,7 @@
   state.Self.set_name("front");
   GossipState gossip;
   FleetDemand demand;
-  state.Rows["cold"].Waiting = {1, 2};
+  state.ModelUsages["cold"].Waiting = {1, 2};
   NodeMessages out;
   takeNodeHeartbeat(state, gossip, demand, leaderBeat("a", 1), Start, out);
   CHECK(countRows(out, "a:1") == 1);
--- a/tests/front/test_leader_work.cpp
+++ b/tests/front/test_leader_work.cpp
@@ -100,7 +100,7 @@
     planPlacement(Leader, State, Now, out);
     Leader.NextForecast = Now;
     tellForecasts(Leader, State, Now, out);
-    return State.Rows["new"].ReadyAt;
+    return State.ModelUsages["new"].ReadyAt;
   }
 
   uint64_t Sequence = 0;
