--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -231,8 +231,8 @@
     return out;
   }
   if (Now + left + left / ForecastMarginPart > Request.PatienceEnd) {
-    row.WantedUntil = Now + std::clamp(left, State.Limits.WishMemory,
-                                       State.Limits.MostWishMemory);
+    row.RetryExpectedUntil = Now + std::clamp(left, State.Limits.WishMemory,
+                                              State.Limits.MostWishMemory);
     row.WantedWorth = Request.Worth;
     out.Wish = wishForModel(row, Request.Attributes.Model, Now);
     out.Decision = refuse(State, RefusalReason::DeadlineUnreachable, left);
--- a/front/fleet_view.cpp
+++ b/front/fleet_view.cpp
@@ -75,7 +75,7 @@
     demand.set_tokens_per_s(static_cast<uint64_t>(it.DemandRate));
   }
   for (auto &[name, it] : State.ModelUsages) {
-    bool isWanted = !isPast(it.WantedUntil, Now);
+    bool isWanted = !isPast(it.RetryExpectedUntil, Now);
     if (it.Arrivals == 0 && it.Open == 0 && it.Waiting.empty() && !isWanted)
       continue;
     wire::RowDemand &demand = *Beat.add_rows();
--- a/front/front_state.cpp
+++ b/front/front_state.cpp
@@ -43,7 +43,7 @@
 }
 
 double agedWaitingWorth(const ModelUsage &Row, TimePoint Now) {
-  double worth = isPast(Row.WantedUntil, Now) ? 0.0 : Row.WantedWorth;
+  double worth = isPast(Row.RetryExpectedUntil, Now) ? 0.0 : Row.WantedWorth;
   if (Row.Waiting.empty())
     return worth;
   double age = std::chrono::duration<double>(Now - Row.WaitingSince) /
--- a/front/front_state.h
+++ b/front/front_state.h
@@ -41,8 +41,8 @@
   std::map<std::string, uint32_t> OpenAt; ///< By endpoint.
   std::set<uint64_t> Waiting;             ///< Numbers of requests.
   double WaitingWorth = 0;
-  TimePoint WaitingSince; ///< Somebody has waited from then on.
-  TimePoint WantedUntil;  ///< A caller was told to come back.
+  TimePoint WaitingSince;       ///< Somebody has waited from then on.
+  TimePoint RetryExpectedUntil; ///< A caller was told to come back.
   double WantedWorth = 0;
   TimePoint NextWish;   ///< The leader is told at once, but not too often.
   TimePoint NextAsk;    ///< The same for agents, while nobody leads.
--- a/tests/front/test_dispatch.cpp
+++ b/tests/front/test_dispatch.cpp
@@ -338,13 +338,13 @@
   const DispatchResult refused = decideDispatch(state, request, now);
   REQUIRE(refusalOf(refused) != nullptr);
   CHECK(refusalOf(refused)->RetryAfter >= patience - Millis(50));
-  CHECK(row.WantedUntil - now >= state.Limits.WishMemory);
+  CHECK(row.RetryExpectedUntil - now >= state.Limits.WishMemory);
   row.ReadyAt = now + Millis(7'000);
   REQUIRE(refusalOf(decideDispatch(state, request, now)) != nullptr);
-  CHECK(row.WantedUntil - now >= Millis(7'000));
+  CHECK(row.RetryExpectedUntil - now >= Millis(7'000));
   row.ReadyAt = now + std::chrono::minutes(1);
   REQUIRE(refusalOf(decideDispatch(state, request, now)) != nullptr);
-  CHECK(row.WantedUntil - now == state.Limits.MostWishMemory);
+  CHECK(row.RetryExpectedUntil - now == state.Limits.MostWishMemory);
 }
 
 // Several models lay on the disk of one engine only. Those that were worth a
