--- a/front/front_state.h
+++ b/front/front_state.h
@@ -44,10 +44,10 @@
   TimePoint WaitingSince;       ///< Somebody has waited from then on.
   TimePoint RetryExpectedUntil; ///< A caller was told to come back.
   double WantedWorth = 0;
-  TimePoint NextWish;   ///< The leader is told at once, but not too often.
-  TimePoint NextAsk;    ///< The same for agents, while nobody leads.
-  TimePoint ReadyAt;    ///< Loaded by then, as the leader planned last.
-  TimePoint ForecastAt; ///< When it said so.
+  TimePoint NextWish; ///< The leader is told at once, but not too often.
+  TimePoint NextAgentRequest; ///< The same for agents, while nobody leads.
+  TimePoint ReadyAt;          ///< Loaded by then, as the leader planned last.
+  TimePoint ForecastAt;       ///< When it said so.
 };
 
 struct KnownLeader {
--- a/front/leaderless_wish.cpp
+++ b/front/leaderless_wish.cpp
@@ -47,7 +47,8 @@
   const EngineSpec *spec = engineSpecOf(State, Request.Service);
   const std::string &name = Request.Attributes.Model;
   ModelUsage &row = State.ModelUsages[name];
-  if (!spec || !spec->Models.contains(name) || !isPast(row.NextAsk, Now) ||
+  if (!spec || !spec->Models.contains(name) ||
+      !isPast(row.NextAgentRequest, Now) ||
       !isLeaderless(State, Request, row, Now))
     return std::nullopt;
   const ModelSpec &model = spec->Models.at(name);
@@ -70,7 +71,7 @@
   auto chosen = chooseFreeEngine(name, model.WeightsMb, engines);
   if (!chosen)
     return std::nullopt;
-  row.NextAsk = Now + AskPeriod;
+  row.NextAgentRequest = Now + AskPeriod;
   AskForModel out;
   out.Agent = states[*chosen]->Agent;
   out.Order.set_engine_address(engines[*chosen].Address);
--- a/tests/front/test_dispatch.cpp
+++ b/tests/front/test_dispatch.cpp
@@ -227,7 +227,7 @@
   CHECK_FALSE(decideDispatch(state, request, Start).Load);
   // The leader fell silent: no forecast came in time.
   CHECK(decideDispatch(state, request, Start + Millis(600)).Load);
-  state.ModelUsages["m"].NextAsk = TimePoint();
+  state.ModelUsages["m"].NextAgentRequest = TimePoint();
   state.ModelUsages["m"].ForecastAt = Start + Millis(500);
   state.ModelUsages["m"].ReadyAt = Start + Millis(900);
   CHECK_FALSE(decideDispatch(state, request, Start + Millis(600)).Load);
@@ -237,7 +237,7 @@
   CHECK_FALSE(decideDispatch(state, request, Start).Load);
   state.IsLeading = false;
   CHECK(decideDispatch(state, request, Start).Load);
-  state.ModelUsages["m"].NextAsk = TimePoint();
+  state.ModelUsages["m"].NextAgentRequest = TimePoint();
   report(state, "10.0.0.1:7", true, {}, Start);
   CHECK_FALSE(decideDispatch(state, request, Start).Load);
   report(state, "10.0.0.1:7", false, {"of unknown size"}, Start);
