--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -198,7 +198,7 @@
 /// It alone knows which engines have the weights near.
 bool isForecastDue(const FrontState &State, const FrontRequest &Request,
                    TimePoint Now) {
-  Millis wait = hasLeader(State, Now) ? ForecastWait : ElectionWait;
+  Millis wait = hasLeader(State, Now) ? ForecastTimeout : ElectionWait;
   return Now - Request.ArrivedAt < wait;
 }
 
--- a/front/front_state.h
+++ b/front/front_state.h
@@ -96,7 +96,7 @@
 
 /// The leader's forecast of a load is there within this: two of its periods and
 /// the way.
-inline constexpr Millis ForecastWait{500};
+inline constexpr Millis ForecastTimeout{500};
 /// What it said counts for this long.
 inline constexpr Millis ForecastLife{1'000};
 
--- a/front/leaderless_wish.cpp
+++ b/front/leaderless_wish.cpp
@@ -22,7 +22,7 @@
     return false;
   if (!hasLeader(State, Now))
     return true;
-  return Now - Request.ArrivedAt > ForecastWait &&
+  return Now - Request.ArrivedAt > ForecastTimeout &&
          Now - Row.ForecastAt > ForecastLife;
 }
 
