--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -207,7 +207,7 @@
 /// known here.
 Millis predictLoad(const FrontState &State, const FrontRequest &Request,
                    const Field &Found, const ModelUsage &Row, TimePoint Now) {
-  if (Row.ForecastAt != TimePoint() && Now - Row.ForecastAt < ForecastLife)
+  if (Row.ForecastAt != TimePoint() && Now - Row.ForecastAt < ForecastLifetime)
     return std::max(std::chrono::duration_cast<Millis>(Row.ReadyAt - Now),
                     LoadOverhead);
   const EngineSpec *spec = engineSpecOf(State, Request.Service);
--- a/front/front_state.h
+++ b/front/front_state.h
@@ -98,7 +98,7 @@
 /// the way.
 inline constexpr Millis ForecastTimeout{500};
 /// What it said counts for this long.
-inline constexpr Millis ForecastLife{1'000};
+inline constexpr Millis ForecastLifetime{1'000};
 
 /// True while a leader plans: this front, or one that was heard lately. Pure.
 bool hasLeader(const FrontState &State, TimePoint Now);
--- a/front/leaderless_wish.cpp
+++ b/front/leaderless_wish.cpp
@@ -23,7 +23,7 @@
   if (!hasLeader(State, Now))
     return true;
   return Now - Request.ArrivedAt > ForecastTimeout &&
-         Now - Row.ForecastAt > ForecastLife;
+         Now - Row.ForecastAt > ForecastLifetime;
 }
 
 /// Memory that is free at an engine, adapters counted; none where it holds a
