--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -338,7 +338,7 @@
     return FrontRefusal{RefusalReason::KeyUnknown, {}};
   LocalQuota &quota = State.Quotas[organisation->Name];
   noteUnanswered(State, quota, Now);
-  QuotaLimit limit = limitOf(State, *organisation, Now);
+  QuotaLimit limit = quotaLimitOf(State, *organisation, Now);
   size_t fronts = countFronts(State, Now);
   QuotaClaim claim{Request.Cost, Request.Worth};
   if (takeQuota(quota, limit, claim, fronts, Now)) {
--- a/front/front_state.cpp
+++ b/front/front_state.cpp
@@ -23,8 +23,8 @@
                              Now - State.Leader.HeardAt < NodeSilence);
 }
 
-QuotaLimit limitOf(const FrontState &State,
-                   const OrganisationSpec &Organisation, TimePoint Now) {
+QuotaLimit quotaLimitOf(const FrontState &State,
+                        const OrganisationSpec &Organisation, TimePoint Now) {
   bool hasPool = State.PoolHeardAt != TimePoint() &&
                  Now - State.PoolHeardAt < PoolSilence &&
                  isPast(State.PoolLostUntil, Now);
--- a/front/front_state.h
+++ b/front/front_state.h
@@ -104,8 +104,8 @@
 bool hasLeader(const FrontState &State, TimePoint Now);
 
 /// Limit of the organisation in force, none when it has none.
-QuotaLimit limitOf(const FrontState &State,
-                   const OrganisationSpec &Organisation, TimePoint Now);
+QuotaLimit quotaLimitOf(const FrontState &State,
+                        const OrganisationSpec &Organisation, TimePoint Now);
 /// Engine parameters of \p Service, or null for plain services.
 const EngineSpec *engineSpecOf(const FrontState &State,
                                const std::string &Service);
--- a/front/leader_work.cpp
+++ b/front/leader_work.cpp
@@ -441,7 +441,7 @@
   bool isBeyond =
       demandOf(Leader.Demand, found->Name, Now) > found->RatePerSecond;
   PoolAnswer answer =
-      drawFromPool(Leader.Pools[found->Name], limitOf(State, *found, Now),
+      drawFromPool(Leader.Pools[found->Name], quotaLimitOf(State, *found, Now),
                    {Wish.wanted(), Wish.least(), Wish.is_favoured()}, isBeyond,
                    Leader.LedSince, Now);
   wire::QuotaGrant out;
