--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -128,7 +128,7 @@
     best = i;
     bestRank = rank;
   }
-  const EngineSpec *spec = engineSpecOf(State, Request.Service);
+  const EngineSpec *spec = findEngineSpec(State, Request.Service);
   if (!best || !spec)
     return std::nullopt;
   const KnownEndpoint &target = *Found.Endpoints[*best];
@@ -210,7 +210,7 @@
   if (Row.ForecastAt != TimePoint() && Now - Row.ForecastAt < ForecastLifetime)
     return std::max(std::chrono::duration_cast<Millis>(Row.ReadyAt - Now),
                     LoadOverhead);
-  const EngineSpec *spec = engineSpecOf(State, Request.Service);
+  const EngineSpec *spec = findEngineSpec(State, Request.Service);
   auto model = spec->Models.find(Request.Attributes.Model);
   if (model == spec->Models.end())
     return Millis::max();
@@ -430,7 +430,7 @@
     out.Decision = *decision;
     return out;
   }
-  const EngineSpec *spec = engineSpecOf(State, Request.Service);
+  const EngineSpec *spec = findEngineSpec(State, Request.Service);
   bool isEngine = spec && !Request.Attributes.Model.empty();
   Field found = surveyEndpoints(State, Request, isEngine, Now);
   if (found.Usable == 0 && !Request.Tried.empty()) {
@@ -496,7 +496,7 @@
 namespace {
 
 ModelUsage &rowOf(FrontState &State, const FrontRequest &Request) {
-  bool isEngine = engineSpecOf(State, Request.Service) != nullptr &&
+  bool isEngine = findEngineSpec(State, Request.Service) != nullptr &&
                   !Request.Attributes.Model.empty();
   return State.ModelUsages[isEngine ? Request.Attributes.Model
                                     : "service " + Request.Service];
--- a/front/front_state.cpp
+++ b/front/front_state.cpp
@@ -32,8 +32,8 @@
           State.Limits.Tolerance, hasPool};
 }
 
-const EngineSpec *engineSpecOf(const FrontState &State,
-                               const std::string &Service) {
+const EngineSpec *findEngineSpec(const FrontState &State,
+                                 const std::string &Service) {
   if (!State.Table)
     return nullptr;
   auto it = State.Table->Services.find(Service);
--- a/front/front_state.h
+++ b/front/front_state.h
@@ -107,8 +107,8 @@
 QuotaLimit quotaLimitOf(const FrontState &State,
                         const OrganisationSpec &Organisation, TimePoint Now);
 /// Engine parameters of \p Service, or null for plain services.
-const EngineSpec *engineSpecOf(const FrontState &State,
-                               const std::string &Service);
+const EngineSpec *findEngineSpec(const FrontState &State,
+                                 const std::string &Service);
 /// Worth that the leader is told of the requests that wait for a model. It
 /// grows with the time for which they have waited, so that several models which
 /// lie at one engine only are loaded in turn.
--- a/front/leader_work.cpp
+++ b/front/leader_work.cpp
@@ -163,7 +163,7 @@
   const auto &endpoints = State.Directory.Endpoints;
   return std::all_of(endpoints.begin(), endpoints.end(), [&](const auto &it) {
     const KnownEndpoint &known = it.second;
-    if (!isUsable(known, Now) || !engineSpecOf(State, known.Service))
+    if (!isUsable(known, Now) || !findEngineSpec(State, known.Service))
       return true;
     const EngineState *engine = engineOf(State.Directory, known);
     return engine && engine->KnowsWeights;
--- a/front/leaderless_wish.cpp
+++ b/front/leaderless_wish.cpp
@@ -44,7 +44,7 @@
 std::optional<AskForModel> askWithoutLeader(FrontState &State,
                                             const FrontRequest &Request,
                                             TimePoint Now) {
-  const EngineSpec *spec = engineSpecOf(State, Request.Service);
+  const EngineSpec *spec = findEngineSpec(State, Request.Service);
   const std::string &name = Request.Attributes.Model;
   ModelUsage &row = State.ModelUsages[name];
   if (!spec || !spec->Models.contains(name) ||
--- a/front/relay.cpp
+++ b/front/relay.cpp
@@ -175,8 +175,8 @@
   if (fields.Load)
     noteLoad(Core.State.Records[Endpoint],
              fields.Load->Running + fields.Load->Waiting,
-             engineSpecOf(Core.State, Request.Service) ? EngineReportLife
-                                                       : PlainReportLife,
+             findEngineSpec(Core.State, Request.Service) ? EngineReportLife
+                                                         : PlainReportLife,
              now);
   HasHead = true;
   IsNotRun = fields.IsNotRun;
