--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -190,7 +190,7 @@
       static_cast<uint32_t>(std::max<size_t>(Row.Waiting.size(), 1)));
   out.set_waiting_worth(agedWaitingWorth(Row, Now));
   out.set_busy(Row.Open + static_cast<uint32_t>(Row.Waiting.size()));
-  printOpen(Row, out);
+  addOpenRequests(Row, out);
   return out;
 }
 
--- a/front/fleet_view.cpp
+++ b/front/fleet_view.cpp
@@ -86,7 +86,7 @@
         std::max<size_t>(it.Waiting.size(), isWanted ? 1 : 0)));
     demand.set_waiting_worth(agedWaitingWorth(it, Now));
     demand.set_busy(it.Open + static_cast<uint32_t>(it.Waiting.size()));
-    printOpen(it, demand);
+    addOpenRequests(it, demand);
     it.Arrivals = 0;
     it.Worth = 0;
   }
--- a/front/front_state.cpp
+++ b/front/front_state.cpp
@@ -52,7 +52,7 @@
                   Row.WaitingWorth * (1 + std::clamp(age, 0.0, MostAging)));
 }
 
-void printOpen(const ModelUsage &Row, wire::RowDemand &Out) {
+void addOpenRequests(const ModelUsage &Row, wire::RowDemand &Out) {
   for (const auto &[endpoint, count] : Row.OpenAt) {
     wire::OpenRequests &open = *Out.add_open();
     open.set_endpoint(endpoint);
--- a/front/front_state.h
+++ b/front/front_state.h
@@ -114,7 +114,7 @@
 /// lie at one engine only are loaded in turn.
 double agedWaitingWorth(const ModelUsage &Row, TimePoint Now);
 /// Adds the requests of \p Row under way at each endpoint.
-void printOpen(const ModelUsage &Row, wire::RowDemand &Out);
+void addOpenRequests(const ModelUsage &Row, wire::RowDemand &Out);
 /// Sizes that an agent needs to keep within its engine's memory.
 wire::EngineSizes sizesFor(const EngineSpec &Spec);
 
