--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -144,7 +144,7 @@
   out.Wish.set_endpoint(target.Id);
   out.Wish.set_model(Request.Attributes.Model);
   out.Wish.set_adapter(Request.Attributes.Adapter);
-  *out.Wish.mutable_sizes() = sizesFor(*spec);
+  *out.Wish.mutable_sizes() = makeEngineSizes(*spec);
   return out;
 }
 
--- a/front/front_state.cpp
+++ b/front/front_state.cpp
@@ -60,7 +60,7 @@
   }
 }
 
-wire::EngineSizes sizesFor(const EngineSpec &Spec) {
+wire::EngineSizes makeEngineSizes(const EngineSpec &Spec) {
   wire::EngineSizes out;
   out.set_weights_mb(Spec.WeightsMb);
   out.set_adapter_slots(Spec.AdapterSlots);
--- a/front/front_state.h
+++ b/front/front_state.h
@@ -116,7 +116,7 @@
 /// Adds the requests of \p Row under way at each endpoint.
 void addOpenRequests(const ModelUsage &Row, wire::RowDemand &Out);
 /// Sizes that an agent needs to keep within its engine's memory.
-wire::EngineSizes sizesFor(const EngineSpec &Spec);
+wire::EngineSizes makeEngineSizes(const EngineSpec &Spec);
 
 } // namespace sassafras
 
--- a/front/leader_work.cpp
+++ b/front/leader_work.cpp
@@ -289,7 +289,7 @@
   wire.set_may_use_store(Load.IsFromStore);
   for (const std::string &it : Load.Evict)
     wire.add_evict(it);
-  *wire.mutable_sizes() = sizesFor(Spec);
+  *wire.mutable_sizes() = makeEngineSizes(Spec);
   wire.set_expires_in_ms(static_cast<uint64_t>(life.count()));
   std::string evicted;
   for (const std::string &it : Load.Evict)
--- a/front/leaderless_wish.cpp
+++ b/front/leaderless_wish.cpp
@@ -76,7 +76,7 @@
   out.Agent = states[*chosen]->Agent;
   out.Order.set_engine_address(engines[*chosen].Address);
   out.Order.set_load(name);
-  *out.Order.mutable_sizes() = sizesFor(*spec);
+  *out.Order.mutable_sizes() = makeEngineSizes(*spec);
   out.Order.set_expires_in_ms(
       static_cast<uint64_t>((model.DiskLoad + OrderSlack).count()));
   return out;
