--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -440,8 +440,8 @@
   }
   if (found.Usable == 0) {
     // A front that has just started has not heard of the endpoints yet.
-    if (!isPast(State.EndpointsKnownAt, Now) &&
-        State.EndpointsKnownAt < Request.PatienceEnd) {
+    if (!isPast(State.EndpointDiscoveryEnd, Now) &&
+        State.EndpointDiscoveryEnd < Request.PatienceEnd) {
       if (isEngine)
         out.Load = askWithoutLeader(State, Request, Now);
       out.Decision = WaitUntil{Now + WaitPeriod};
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -143,7 +143,7 @@
   if (!Peers->start(Problem))
     return false;
   FrontState &state = Core.State;
-  state.EndpointsKnownAt = StartedAt + AnnouncementSpan;
+  state.EndpointDiscoveryEnd = StartedAt + AnnouncementSpan;
   Early.HoldEnd = StartedAt + TableLearnTimeout;
   state.Self.set_name(Options.Node);
   state.Self.set_address(Peers->address());
--- a/front/front_state.h
+++ b/front/front_state.h
@@ -72,7 +72,7 @@
   /// When an adapter may be asked for again, by engine and adapter.
   std::map<std::string, TimePoint> AdapterWishes;
   /// Endpoints that are there have announced themselves by then.
-  TimePoint EndpointsKnownAt;
+  TimePoint EndpointDiscoveryEnd;
   KnownLeader Leader; ///< Another front; a leader does not hear itself.
   bool IsLeading = false;
   TimePoint PoolHeardAt;   ///< Of the leader's last share or grant.
--- a/front/leader_work.cpp
+++ b/front/leader_work.cpp
@@ -158,7 +158,7 @@
                      TimePoint Now) {
   if (Now - Leader.LedSince >= WeightsLearnSpan)
     return true;
-  if (!isPast(State.EndpointsKnownAt, Now))
+  if (!isPast(State.EndpointDiscoveryEnd, Now))
     return false;
   const auto &endpoints = State.Directory.Endpoints;
   return std::all_of(endpoints.begin(), endpoints.end(), [&](const auto &it) {
--- a/tests/front/test_dispatch.cpp
+++ b/tests/front/test_dispatch.cpp
@@ -192,7 +192,7 @@
 // the first load, and engines with free memory stood idle meanwhile.
 TEST_CASE("front asks for a cold model itself while nobody leads") {
   FrontState state = makeState();
-  state.EndpointsKnownAt = Start + Millis(1'800);
+  state.EndpointDiscoveryEnd = Start + Millis(1'800);
   FrontRequest request = admit(state, "/stream/x");
   CHECK_FALSE(decideDispatch(state, request, Start).Load);
   for (const char *it : {"10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7"})
@@ -206,7 +206,7 @@
   FrontState other = makeState();
   for (const char *it : {"10.0.0.3:7", "10.0.0.2:7", "10.0.0.1:7"})
     report(other, it, false, {}, Start);
-  other.EndpointsKnownAt = state.EndpointsKnownAt;
+  other.EndpointDiscoveryEnd = state.EndpointDiscoveryEnd;
   FrontRequest same = admit(other, "/stream/x");
   CHECK(decideDispatch(other, same, Start).Load->Order.engine_address() ==
         load->Order.engine_address());
@@ -431,7 +431,7 @@
 TEST_CASE(
     "front that has just started waits for the endpoints' announcements") {
   FrontState state = makeState();
-  state.EndpointsKnownAt = Start + Millis(1'800);
+  state.EndpointDiscoveryEnd = Start + Millis(1'800);
   FrontRequest stream = admit(state, "/stream/x");
   auto first = decideDispatch(state, stream, Start);
   CHECK(std::holds_alternative<WaitUntil>(first.Decision));
@@ -439,7 +439,7 @@
   auto later = decideDispatch(state, stream, Start + Millis(1'800));
   CHECK(std::holds_alternative<FrontRefusal>(later.Decision));
   // One that would be too late by then is refused at once.
-  state.EndpointsKnownAt = Start + Millis(20'000);
+  state.EndpointDiscoveryEnd = Start + Millis(20'000);
   FrontRequest other = admit(state, "/stream/x");
   CHECK(std::holds_alternative<FrontRefusal>(
       decideDispatch(state, other, Start).Decision));
