--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -134,7 +134,7 @@
   const KnownEndpoint &target = *Found.Endpoints[*best];
   std::string key = target.Id + '/' + Request.Attributes.Model + '/' +
                     Request.Attributes.Adapter;
-  TimePoint &next = State.AdapterWishes[key];
+  TimePoint &next = State.NextAdapterRequests[key];
   if (!isPast(next, Now))
     return std::nullopt;
   next = Now + AdapterRetry;
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -560,7 +560,7 @@
     logMembers(now);
     expireNodes(Core.State.Roster, now);
     expireEndpoints(Core.State.Directory, now);
-    std::erase_if(Core.State.AdapterWishes,
+    std::erase_if(Core.State.NextAdapterRequests,
                   [&](const auto &it) { return isPast(it.second, now); });
   }
   if (isPast(NextFigures, now))
--- a/front/front_state.h
+++ b/front/front_state.h
@@ -70,7 +70,7 @@
   std::map<std::string, RetryBudget> Retries;    ///< By service.
   std::map<std::string, ModelUsage> ModelUsages; ///< By model.
   /// When an adapter may be asked for again, by engine and adapter.
-  std::map<std::string, TimePoint> AdapterWishes;
+  std::map<std::string, TimePoint> NextAdapterRequests;
   /// Endpoints that are there have announced themselves by then.
   TimePoint EndpointDiscoveryEnd;
   KnownLeader Leader; ///< Another front; a leader does not hear itself.
