--- a/front/early_requests.cpp
+++ b/front/early_requests.cpp
@@ -6,7 +6,7 @@
 
 bool holdEarlyRequest(EarlyRequests &Early, EarlyRequest &Request,
                       TimePoint Now) {
-  if (isPast(Early.HoldEnd, Now) || Early.Held.size() >= MostEarlyRequests)
+  if (isPast(Early.HoldEnd, Now) || Early.Held.size() >= MaxEarlyRequests)
     return false;
   Early.Held.push_back(std::move(Request));
   return true;
--- a/front/early_requests.h
+++ b/front/early_requests.h
@@ -1,9 +1,9 @@
 /// \file
-/// Requests that came before this front knew the table.
+/// Holds requests that arrive before this front has a serving table.
 ///
-/// Load pattern: everything loses power at once, and callers are back some
-/// tenths of a second before the table is. Most of them have one try left: a
-/// refusal would be their last answer.
+/// Load pattern: after a power loss of the whole fleet, callers reconnect some
+/// tenths of a second before the table is available. Most of them have one
+/// attempt left, so a refusal would be final.
 #ifndef SASSAFRAS_FRONT_EARLY_REQUESTS_H
 #define SASSAFRAS_FRONT_EARLY_REQUESTS_H
 
@@ -17,11 +17,11 @@
 
 class HttpExchange;
 
-/// A front that has just started learns the table within this: its first
-/// messages to the seeds, a connection made anew, and the answer.
+/// Time in which a front learns the table after its start: first messages to
+/// the seeds, one reconnection, and the reply.
 inline constexpr Millis TableLearnTimeout{1'500};
-/// Requests held at once; each keeps its body in memory.
-inline constexpr size_t MostEarlyRequests = 300;
+/// Limit of requests held at once; each keeps its body in memory.
+inline constexpr size_t MaxEarlyRequests = 300;
 
 struct EarlyRequest {
   HttpRequest Message;
@@ -30,19 +30,20 @@
 };
 
 struct EarlyRequests {
-  TimePoint HoldEnd; ///< From then on nothing is held.
+  TimePoint HoldEnd; ///< From this time on, no request is held.
   std::deque<EarlyRequest> Held;
 };
 
-/// Keeps a request that came at \p Now. False, with \p Request as it was, when
-/// it is to be refused. Not thread safe.
+/// Holds a request that arrived at \p Now. Returns false and leaves \p Request
+/// unchanged after HoldEnd or when MaxEarlyRequests are held. Not thread safe.
 bool holdEarlyRequest(EarlyRequests &Early, EarlyRequest &Request,
                       TimePoint Now);
-/// All that are held, in the order in which they came, when the table is there
-/// or nothing is held any more; else nothing. Not thread safe.
+/// Removes and returns all held requests in order of arrival, once the table is
+/// known or HoldEnd has passed; before that returns none. Not thread safe.
 std::deque<EarlyRequest> releaseEarlyRequests(EarlyRequests &Early,
                                               bool HasTable, TimePoint Now);
-/// The caller is gone. False when its request is not held. Not thread safe.
+/// Drops the request of a caller that disconnected. Returns false when it is
+/// not held. Not thread safe.
 bool dropEarlyRequest(EarlyRequests &Early, const HttpExchange *Exchange);
 
 } // namespace sassafras
--- a/tests/front/test_early_requests.cpp
+++ b/tests/front/test_early_requests.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Requests that come before a front knows the table.
+/// Requests that arrive before a front has a serving table.
 #include "front/early_requests.h"
 
 #include <catch2/catch.hpp>
@@ -12,7 +12,7 @@
 
 const TimePoint Start = TimePoint() + std::chrono::hours(1);
 
-/// Exchanges are only told apart here, never used.
+/// Exchanges are compared by address here, never dereferenced.
 std::array<char, 400> Places;
 
 std::shared_ptr<HttpExchange> exchangeAt(size_t Position) {
@@ -41,9 +41,10 @@
 
 } // namespace
 
-// Everything had lost power: 203 requests came in the half second in which most
-// fronts knew no table yet, and were refused, most of them for good.
-TEST_CASE("requests that come before the table wait for it in their order") {
+// After a power loss of the whole fleet, 203 requests arrived in the half
+// second in which most fronts had no table yet. They were refused, which was
+// final for most of them.
+TEST_CASE("requests that arrive before the table wait for it in order") {
   EarlyRequests early = started();
   for (size_t i = 0; i < 5; ++i)
     CHECK(hold(early, i, Start + Millis(100 * static_cast<int>(i))));
@@ -58,7 +59,8 @@
   CHECK(releaseEarlyRequests(early, true, Start + Millis(700)).empty());
 }
 
-TEST_CASE("requests wait for a table no longer than a new front learns it") {
+TEST_CASE(
+    "requests wait for a table no longer than a new front takes to learn it") {
   EarlyRequests early = started();
   CHECK(hold(early, 1, Start));
   TimePoint end = Start + TableLearnTimeout + Millis(1);
@@ -68,7 +70,7 @@
 
 TEST_CASE("front holds a bounded number of early requests") {
   EarlyRequests early = started();
-  for (size_t i = 0; i < MostEarlyRequests; ++i)
+  for (size_t i = 0; i < MaxEarlyRequests; ++i)
     REQUIRE(hold(early, i, Start));
-  CHECK_FALSE(hold(early, MostEarlyRequests, Start));
+  CHECK_FALSE(hold(early, MaxEarlyRequests, Start));
 }
