--- a/front/relay.cpp
+++ b/front/relay.cpp
@@ -205,7 +205,7 @@
   if (IsOver)
     return;
   if (IsStream) {
-    std::string events = cutEvents(Cutter, Bytes);
+    std::string events = takeCompleteEvents(EventBuffer, Bytes);
     if (!events.empty())
       writeEvents(std::move(events));
     return;
@@ -242,7 +242,7 @@
   noteExchangeOver(Core.State, Request, Endpoint);
   if (IsStream) {
     noteSuccess(Core.State.Records[Endpoint]);
-    Exchange->write(std::move(Cutter.Rest));
+    Exchange->write(std::move(EventBuffer.Incomplete));
     Exchange->finish();
     observe("answer_seconds", now - Request.ArrivedAt);
     finish("answered", Head.Status);
@@ -311,9 +311,9 @@
 
 void Relay::failExchange(ExchangeFailure Failure) {
   // What was cut off in the middle of an event comes again with the next run.
-  Cutter.Rest.clear();
-  if (Cutter.LastId)
-    Request.LastEvent = Cutter.LastId;
+  EventBuffer.Incomplete.clear();
+  if (EventBuffer.LastId)
+    Request.LastEvent = EventBuffer.LastId;
   bool hasAnswer = Failure == ExchangeFailure::Error && !IsAnswering;
   AfterFailure after = decideAfterFailure(Core.State, Request, Endpoint,
                                           Failure, hasAnswer, Clock::now());
--- a/front/relay.h
+++ b/front/relay.h
@@ -6,8 +6,8 @@
 
 #include "front/admission.h"
 #include "front/dispatch.h"
-#include "front/event_cutter.h"
 #include "front/front_core.h"
+#include "front/sse_buffer.h"
 
 #include <boost/asio/steady_timer.hpp>
 
@@ -64,7 +64,7 @@
   std::optional<Millis> RetryAfter; ///< Told with a refusal.
   HttpHead Head;                    ///< Of the newest answer.
   std::string Body;                 ///< Held back until it is whole.
-  EventCutter Cutter;
+  SseBuffer EventBuffer;
   TimePoint SentAt;
   TimePoint FirstByteAt;
   TimePoint LastEventAt;
--- a/front/event_cutter.cpp
+++ b/front/sse_buffer.cpp
@@ -1,4 +1,4 @@
-#include "front/event_cutter.h"
+#include "front/sse_buffer.h"
 
 #include <charconv>
 
@@ -8,9 +8,9 @@
 
 constexpr std::string_view IdKey = "id:";
 
-/// End of the last whole event in \p Text, or 0. An empty line ends an event;
-/// lines end with LF or CRLF.
-size_t endOfEvents(std::string_view Text) {
+/// End of the last complete event in \p Text, or 0. An empty line ends an
+/// event; lines end with LF or CRLF.
+size_t endOfLastEvent(std::string_view Text) {
   size_t lf = Text.rfind("\n\n");
   size_t crlf = Text.rfind("\r\n\r\n");
   size_t end = lf == std::string_view::npos ? 0 : lf + 2;
@@ -19,7 +19,7 @@
   return end;
 }
 
-void noteId(EventCutter &Cutter, std::string_view Line) {
+void recordId(SseBuffer &Buffer, std::string_view Line) {
   if (!Line.starts_with(IdKey))
     return;
   Line.remove_prefix(IdKey.size());
@@ -29,20 +29,20 @@
   auto [end, error] =
       std::from_chars(Line.data(), Line.data() + Line.size(), id);
   if (error == std::errc() && end != Line.data())
-    Cutter.LastId = id;
+    Buffer.LastId = id;
 }
 
 } // namespace
 
-std::string cutEvents(EventCutter &Cutter, std::string_view Bytes) {
-  Cutter.Rest += Bytes;
-  size_t end = endOfEvents(Cutter.Rest);
-  std::string out = Cutter.Rest.substr(0, end);
-  Cutter.Rest.erase(0, end);
+std::string takeCompleteEvents(SseBuffer &Buffer, std::string_view Bytes) {
+  Buffer.Incomplete += Bytes;
+  size_t end = endOfLastEvent(Buffer.Incomplete);
+  std::string out = Buffer.Incomplete.substr(0, end);
+  Buffer.Incomplete.erase(0, end);
   std::string_view rest = out;
   while (!rest.empty()) {
     size_t n = rest.find('\n');
-    noteId(Cutter, rest.substr(0, n));
+    recordId(Buffer, rest.substr(0, n));
     if (n == std::string_view::npos)
       break;
     rest.remove_prefix(n + 1);
--- a/tests/front/test_dispatch.cpp
+++ b/tests/front/test_dispatch.cpp
@@ -2,7 +2,7 @@
 /// Decisions of a front on one request: taken or refused, where it goes, and
 /// what follows a failure. Whether it may have run is the point throughout.
 #include "front/dispatch.h"
-#include "front/event_cutter.h"
+#include "front/sse_buffer.h"
 
 #include <catch2/catch.hpp>
 
@@ -543,20 +543,22 @@
   CHECK(reached.size() == 2);
 }
 
-TEST_CASE("stream is cut at the bounds of its events, wherever bytes break") {
+TEST_CASE("stream is split at event boundaries for any division into chunks") {
   const std::string whole = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n"
                             "data: no id\n\nid: 7\ndata: c\n\n";
   for (size_t step = 1; step < whole.size(); ++step) {
-    EventCutter cutter;
+    SseBuffer buffer;
     std::string out;
     for (size_t i = 0; i < whole.size(); i += step)
-      out += cutEvents(cutter, std::string_view(whole).substr(i, step));
+      out +=
+          takeCompleteEvents(buffer, std::string_view(whole).substr(i, step));
     CHECK(out == whole);
-    CHECK(cutter.Rest.empty());
-    CHECK(cutter.LastId == 7u);
+    CHECK(buffer.Incomplete.empty());
+    CHECK(buffer.LastId == 7u);
   }
-  EventCutter cut;
-  CHECK(cutEvents(cut, "id: 1\ndata: a\n\nid: 2\nda") == "id: 1\ndata: a\n\n");
-  CHECK(cut.LastId == 1u);
-  CHECK(cut.Rest == "id: 2\nda");
+  SseBuffer partial;
+  CHECK(takeCompleteEvents(partial, "id: 1\ndata: a\n\nid: 2\nda") ==
+        "id: 1\ndata: a\n\n");
+  CHECK(partial.LastId == 1u);
+  CHECK(partial.Incomplete == "id: 2\nda");
 }
