--- a/front/admission.cpp
+++ b/front/admission.cpp
@@ -7,44 +7,45 @@
 
 namespace {
 
-/// Callers of streams give up after the longest of these pauses.
-constexpr Millis LeastPatience{2'000};
-constexpr int PatienceObjectives = 4;
-constexpr int PatienceGaps = 8;
-/// An output token costs an endpoint about as much as so many prompt tokens.
+/// Callers of streams stop waiting for a first byte after the longest of: this
+/// time, a multiple of the route's objective, a multiple of its gap target.
+constexpr Millis MinFirstByteTimeout{2'000};
+constexpr int FirstByteObjectives = 4;
+constexpr int FirstByteGaps = 8;
+/// Cost of an output token to an endpoint, in prompt tokens; approximate.
 constexpr double OutputTokenWeight = 10;
-/// Mean size of a request in prompt tokens, output weighted; sizes are
-/// compared with it.
-constexpr double MeanSize = 4'000;
-/// Callers that wait this long have the usual worth.
-constexpr Millis UsualTimeout{6'000};
-/// A front that has just started learns the table within this time.
-constexpr Millis UnknownTableRetry{500};
-/// Who is worth a long wait is worth more than in proportion.
-constexpr double PatienceExponent = 1.5;
-constexpr double LeastWorth = 0.5;
-constexpr double MostWorth = 12;
-constexpr uint32_t LeastUrgent = 9;
-constexpr uint32_t RoutePriorities = 3;
+/// Mean size of a request in prompt tokens, with output tokens weighted.
+/// Request sizes are compared with it.
+constexpr double MeanRequestSize = 4'000;
+/// Route timeout at which a request has a worth of 1.
+constexpr Millis ReferenceTimeout{6'000};
+/// A front that has just started receives its first table within this time.
+constexpr Millis TableUnknownRetryAfter{500};
+/// Worth grows faster than the timeout.
+constexpr double TimeoutExponent = 1.5;
+constexpr double MinTimeoutWorth = 0.5;
+constexpr double MaxTimeoutWorth = 12;
+constexpr uint32_t MaxUrgencyValue = 9;
+constexpr uint32_t RoutePriorityLevels = 3;
 
 std::string pathOf(const std::string &Target) {
   return Target.substr(0, Target.find('?'));
 }
 
-/// Callers with a long timeout ask for what is worth waiting for; large
-/// requests count for more, within bounds.
+/// Worth grows with the route's timeout, as callers accept a long wait for what
+/// is valuable to them, and with the size of the request; both within bounds.
 double worthOf(const ServingRoute &Route, const RequestAttributes &Attributes) {
-  double patience =
+  double timeoutWorth =
       std::clamp(std::pow(static_cast<double>(Route.Timeout.count()) /
-                              static_cast<double>(UsualTimeout.count()),
-                          PatienceExponent),
-                 LeastWorth, MostWorth);
+                              static_cast<double>(ReferenceTimeout.count()),
+                          TimeoutExponent),
+                 MinTimeoutWorth, MaxTimeoutWorth);
   if (!Attributes.HasTokenCounts)
-    return patience;
+    return timeoutWorth;
   double size =
       static_cast<double>(Attributes.PromptTokens) +
       OutputTokenWeight * static_cast<double>(Attributes.OutputTokens);
-  return patience * (0.3 + 0.7 * std::min(size / MeanSize, 4.0));
+  return timeoutWorth * (0.3 + 0.7 * std::min(size / MeanRequestSize, 4.0));
 }
 
 double costOf(const OrganisationSpec &Organisation,
@@ -56,21 +57,21 @@
   return static_cast<double>(Attributes.PromptTokens + Attributes.OutputTokens);
 }
 
-void setTimes(FrontRequest &Request, TimePoint Now) {
+void setDeadlines(FrontRequest &Request, TimePoint Now) {
   const ServingRoute &route = *Request.Route;
   Millis left = Request.Attributes.TimeLeft
                     ? std::min(*Request.Attributes.TimeLeft, route.Timeout)
                     : route.Timeout;
   Request.ArrivedAt = Now;
   Request.Deadline = Now + left;
-  Request.ObjectiveEnd =
+  Request.ObjectiveDeadline =
       Now + (route.Objective.count() > 0 ? route.Objective : route.Timeout);
-  Millis patience = left;
+  Millis maxWait = left;
   if (route.Kind == RequestKind::Streaming)
-    patience = std::min(
-        left, std::max({LeastPatience, route.Objective * PatienceObjectives,
-                        route.GapTarget * PatienceGaps}));
-  Request.PatienceEnd = Now + patience;
+    maxWait = std::min(left, std::max({MinFirstByteTimeout,
+                                       route.Objective * FirstByteObjectives,
+                                       route.GapTarget * FirstByteGaps}));
+  Request.FirstByteDeadline = Now + maxWait;
 }
 
 } // namespace
@@ -78,7 +79,7 @@
 std::variant<FrontRequest, FrontRefusal>
 admitRequest(FrontState &State, RequestAttributes Attributes, TimePoint Now) {
   if (!State.Table)
-    return FrontRefusal{RefusalReason::TableUnknown, UnknownTableRetry};
+    return FrontRefusal{RefusalReason::TableUnknown, TableUnknownRetryAfter};
   if (Attributes.Host.empty())
     return FrontRefusal{RefusalReason::BadRequest, {}};
   const ServingRoute *route =
@@ -101,9 +102,9 @@
     out.Cost = costOf(*organisation, Attributes);
     organisationPriority = organisation->Priority;
   }
-  out.Urgency = std::min(organisationPriority * RoutePriorities +
-                             std::min(route->Priority, RoutePriorities - 1),
-                         LeastUrgent);
+  out.Urgency = std::min(organisationPriority * RoutePriorityLevels +
+                             std::min(route->Priority, RoutePriorityLevels - 1),
+                         MaxUrgencyValue);
   std::uniform_real_distribution<double> point(0, 1);
   out.Service = serviceAt(*route, point(State.Random));
   out.IsRepeatable =
@@ -112,7 +113,7 @@
   out.Worth = worthOf(*route, Attributes);
   out.LastEvent = Attributes.LastEvent;
   out.Attributes = std::move(Attributes);
-  setTimes(out, Now);
+  setDeadlines(out, Now);
   return out;
 }
 
--- a/front/admission.h
+++ b/front/admission.h
@@ -1,5 +1,5 @@
 /// \file
-/// Whether a caller's request is taken at all: route, key and organisation.
+/// Admission of callers' requests: checks of route, key and organisation.
 #ifndef SASSAFRAS_FRONT_ADMISSION_H
 #define SASSAFRAS_FRONT_ADMISSION_H
 
@@ -13,7 +13,7 @@
 
 namespace sassafras {
 
-/// What a request says of itself, in the fleet's terms.
+/// Attributes of a request, as parsed from its message.
 struct RequestAttributes {
   std::string Id;
   std::string Method;
@@ -30,38 +30,39 @@
   std::optional<uint64_t> LastEvent;
 };
 
-/// A request that was taken. Exactly one outcome ends it.
+/// An admitted request. It ends with exactly one outcome.
 struct FrontRequest {
   uint64_t Number = 0;
   RequestAttributes Attributes;
-  ServingTablePtr Table; ///< In force when it came; holds Route.
+  ServingTablePtr Table; ///< In force on arrival; owns Route.
   const ServingRoute *Route = nullptr;
   std::string Service;
   std::string Organisation; ///< Empty on open routes without a key.
-  uint32_t Urgency = 5;     ///< 0 first, 9 last.
-  double Cost = 0;          ///< Against the organisation's rate.
-  double Worth = 1;         ///< Against other requests for scarce things.
+  uint32_t Urgency = 5;     ///< 0 is the most urgent, 9 the least.
+  double Cost = 0;          ///< Charged to the organisation's quota.
+  double Worth = 1; ///< Weight against other requests for limited resources.
   bool IsRepeatable = false;
   bool IsCharged = false;
   TimePoint ArrivedAt;
-  TimePoint ObjectiveEnd;
-  TimePoint PatienceEnd; ///< The caller gives up waiting for a first byte.
-  TimePoint Deadline;    ///< Of caller and route together.
-  std::set<std::string> Tried; ///< Endpoints that failed it.
-  bool AwaitsRetry = false;    ///< Its next send draws on the retry budget.
+  TimePoint ObjectiveDeadline; ///< End of the latency objective (SLO).
+  TimePoint FirstByteDeadline; ///< The caller stops waiting for a first byte.
+  TimePoint Deadline; ///< The earlier of the deadlines of caller and route.
+  std::set<std::string> FailedEndpoints; ///< Endpoints whose exchange failed.
+  bool NeedsRetryToken = false;          ///< The next send needs retry budget.
   uint32_t Sends = 0;
   uint32_t Runs = 0;                 ///< Sends that ran or may have run.
-  std::optional<uint64_t> LastEvent; ///< Passed on to the caller.
+  std::optional<uint64_t> LastEvent; ///< Id of the last event forwarded.
 };
 
-/// A request that is ended without an answer of an endpoint.
+/// Ends a request without a response from an endpoint.
 struct FrontRefusal {
   RefusalReason Reason = RefusalReason::NoCapacity;
   std::optional<Millis> RetryAfter;
 };
 
-/// Takes or refuses a request by the table in force. Pure but for the random
-/// place in a split.
+/// Admits or refuses a request by the serving table in force. Changes nothing
+/// in \p State but its random generator, which picks the service of a traffic
+/// split.
 std::variant<FrontRequest, FrontRefusal>
 admitRequest(FrontState &State, RequestAttributes Attributes, TimePoint Now);
 
--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -86,7 +86,7 @@
   Field out;
   for (const auto &[id, known] : State.Directory.Endpoints) {
     if (known.Service != Request.Service || !isUsable(known, Now) ||
-        Request.Tried.contains(id))
+        Request.FailedEndpoints.contains(id))
       continue;
     ++out.Usable;
     const EngineState *engine =
@@ -230,7 +230,7 @@
     out.Decision = refuse(State, RefusalReason::NoCapacity, LoadOverhead);
     return out;
   }
-  if (Now + left + left / ForecastMarginPart > Request.PatienceEnd) {
+  if (Now + left + left / ForecastMarginPart > Request.FirstByteDeadline) {
     row.RetryExpectedUntil = Now + std::clamp(left, State.Limits.WishMemory,
                                               State.Limits.MostWishMemory);
     row.WantedWorth = Request.Worth;
@@ -266,7 +266,7 @@
       predictQueue(Found, ahead, IsEngine ? MeanService : MeanPlainService);
   bool isKnown = row.Waiting.contains(Request.Number);
   if ((!isKnown && row.Waiting.size() >= State.Limits.MostWaiting) ||
-      Now + (isKnown ? Millis(0) : wait) > Request.PatienceEnd) {
+      Now + (isKnown ? Millis(0) : wait) > Request.FirstByteDeadline) {
     out.Decision = refuse(State, RefusalReason::NoCapacity, wait);
     return out;
   }
@@ -347,7 +347,7 @@
     return std::nullopt;
   }
   Clock::duration patience =
-      (Request.ObjectiveEnd - Request.ArrivedAt) / QuotaWaitPart;
+      (Request.ObjectiveDeadline - Request.ArrivedAt) / QuotaWaitPart;
   TimePoint patienceEnd = Request.ArrivedAt + patience;
   Millis wait = waitForQuota(quota, limit, claim, fronts, Now);
   if (limit.HasPool) {
@@ -386,8 +386,9 @@
 /// How long a request that an endpoint rejected waits for its next send while
 /// the retry budget is used up. The budget grows with each arrival.
 TimePoint retryPatienceEnd(const FrontRequest &Request) {
-  return Request.Route->Kind == RequestKind::Streaming ? Request.PatienceEnd
-                                                       : Request.ObjectiveEnd;
+  return Request.Route->Kind == RequestKind::Streaming
+             ? Request.FirstByteDeadline
+             : Request.ObjectiveDeadline;
 }
 
 RetryReason retryReasonOf(ExchangeFailure Failure) {
@@ -433,15 +434,15 @@
   const EngineSpec *spec = findEngineSpec(State, Request.Service);
   bool isEngine = spec && !Request.Attributes.Model.empty();
   Field found = surveyEndpoints(State, Request, isEngine, Now);
-  if (found.Usable == 0 && !Request.Tried.empty()) {
+  if (found.Usable == 0 && !Request.FailedEndpoints.empty()) {
     // All have failed it once; whichever is there may try again.
-    Request.Tried.clear();
+    Request.FailedEndpoints.clear();
     found = surveyEndpoints(State, Request, isEngine, Now);
   }
   if (found.Usable == 0) {
     // A front that has just started has not heard of the endpoints yet.
     if (!isPast(State.EndpointDiscoveryEnd, Now) &&
-        State.EndpointDiscoveryEnd < Request.PatienceEnd) {
+        State.EndpointDiscoveryEnd < Request.FirstByteDeadline) {
       if (isEngine)
         out.Load = askWithoutLeader(State, Request, Now);
       out.Decision = WaitUntil{Now + WaitPeriod};
@@ -473,7 +474,7 @@
     wait.Wishes = std::move(out.Wishes);
     return wait;
   }
-  if (Request.AwaitsRetry && !takeRetryFor(State, Request, Now)) {
+  if (Request.NeedsRetryToken && !takeRetryFor(State, Request, Now)) {
     if (isPast(retryPatienceEnd(Request), Now))
       out.Decision =
           refuse(State, RefusalReason::RetriesExhausted, LeastRetryAfter);
@@ -481,7 +482,7 @@
       out.Decision = WaitUntil{Now + WaitPeriod};
     return out;
   }
-  Request.AwaitsRetry = false;
+  Request.NeedsRetryToken = false;
   const KnownEndpoint &target = *found.Endpoints[*chosen];
   const EndpointRecord &record = *found.Candidates[*chosen].Record;
   Millis age =
@@ -575,7 +576,7 @@
   } else {
     noteFailure(record, Failure == ExchangeFailure::Unreachable, Now);
     logPause(Endpoint, record, Now);
-    Request.Tried.insert(Endpoint);
+    Request.FailedEndpoints.insert(Endpoint);
   }
   Request.Runs += isRun;
   returnCharge(State, Request);
@@ -594,7 +595,7 @@
                    !isPast(retryPatienceEnd(Request), Now);
     if (!mayWait)
       return out;
-    Request.AwaitsRetry = true;
+    Request.NeedsRetryToken = true;
   }
   out.IsRetry = true;
   out.Why = retryReasonOf(Failure);
--- a/tests/front/test_dispatch.cpp
+++ b/tests/front/test_dispatch.cpp
@@ -313,7 +313,7 @@
   CHECK(refused.Wish);
   // A caller whose time ends before even near weights could be loaded.
   FrontRequest hasty = admit(cold, "/stream/x");
-  hasty.PatienceEnd = Start + Millis(900);
+  hasty.FirstByteDeadline = Start + Millis(900);
   CHECK(refusalOf(decideDispatch(cold, hasty, Start)));
 }
 
@@ -328,7 +328,8 @@
   state.Leader.HeardAt = Start;
   FrontRequest request = admit(state, "/stream/x");
   TimePoint now = Start + Millis(50);
-  auto patience = std::chrono::duration_cast<Millis>(request.PatienceEnd - now);
+  auto patience =
+      std::chrono::duration_cast<Millis>(request.FirstByteDeadline - now);
   ModelUsage &row = state.ModelUsages["m"];
   row.ForecastAt = now;
   row.ReadyAt = now + patience * 3 / 4;
@@ -355,8 +356,8 @@
   addEndpoint(state, "e1", "chat", "10.0.0.1:80", {}, {"m"});
   state.Leader.HeardAt = Start;
   FrontRequest request = admit(state, "/stream/x");
-  request.PatienceEnd = Start + Millis(20'000);
-  request.Deadline = request.PatienceEnd;
+  request.FirstByteDeadline = Start + Millis(20'000);
+  request.Deadline = request.FirstByteDeadline;
   auto told = [&](Millis After) {
     TimePoint now = Start + After;
     ModelUsage &row = state.ModelUsages["m"];
@@ -506,18 +507,18 @@
     noteRequest(state.Retries["chat"], state.Limits.Retries, 1);
   CHECK(std::holds_alternative<SendTo>(
       decideDispatch(state, request, now).Decision));
-  CHECK_FALSE(request.AwaitsRetry);
+  CHECK_FALSE(request.NeedsRetryToken);
   // Not for ever, and not beyond what a plain service's caller aims at.
   state.Limits.Retries = {0, 0};
   state.Retries.clear();
-  request.AwaitsRetry = true;
-  now = request.PatienceEnd + Millis(1);
+  request.NeedsRetryToken = true;
+  now = request.FirstByteDeadline + Millis(1);
   CHECK(refusalOf(decideDispatch(state, request, now)) != nullptr);
   addEndpoint(state, "d1", "desk", "10.0.0.3:80", {});
   FrontRequest plain = admit(state, "/safe/x");
   noteDispatched(state, plain, "d1");
   after = decideAfterFailure(state, plain, "d1", ExchangeFailure::Rejected,
-                             false, plain.ObjectiveEnd + Millis(1));
+                             false, plain.ObjectiveDeadline + Millis(1));
   CHECK_FALSE(after.IsRetry);
   CHECK(after.Refusal.Reason == RefusalReason::RetriesExhausted);
 }
