--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -181,9 +181,9 @@
 
 std::optional<wire::RowDemand>
 wishForModel(ModelUsage &Row, const std::string &Model, TimePoint Now) {
-  if (!isPast(Row.NextWish, Now))
+  if (!isPast(Row.NextDemandReport, Now))
     return std::nullopt;
-  Row.NextWish = Now + WishPeriod;
+  Row.NextDemandReport = Now + WishPeriod;
   wire::RowDemand out;
   out.set_model(Model);
   out.set_waiting(
@@ -231,9 +231,10 @@
     return out;
   }
   if (Now + left + left / ForecastMarginPart > Request.FirstByteDeadline) {
-    row.RetryExpectedUntil = Now + std::clamp(left, State.Limits.WishMemory,
-                                              State.Limits.MostWishMemory);
-    row.WantedWorth = Request.Worth;
+    row.RetryExpectedUntil =
+        Now + std::clamp(left, State.Limits.MinDemandRetention,
+                         State.Limits.MaxDemandRetention);
+    row.RetryExpectedWorth = Request.Worth;
     out.Wish = wishForModel(row, Request.Attributes.Model, Now);
     out.Decision = refuse(State, RefusalReason::DeadlineUnreachable, left);
     return out;
@@ -265,7 +266,7 @@
   Millis wait =
       predictQueue(Found, ahead, IsEngine ? MeanService : MeanPlainService);
   bool isKnown = row.Waiting.contains(Request.Number);
-  if ((!isKnown && row.Waiting.size() >= State.Limits.MostWaiting) ||
+  if ((!isKnown && row.Waiting.size() >= State.Limits.MaxWaitingRequests) ||
       Now + (isKnown ? Millis(0) : wait) > Request.FirstByteDeadline) {
     out.Decision = refuse(State, RefusalReason::NoCapacity, wait);
     return out;
@@ -317,10 +318,10 @@
 /// A leader that did not answer the last wish in time may be gone: for a while
 /// nobody is asked.
 void noteUnanswered(FrontState &State, LocalQuota &Quota, TimePoint Now) {
-  if (Quota.AskedAt == TimePoint() || Now - Quota.AskedAt < PoolAnswerLimit)
+  if (Quota.AskedAt == TimePoint() || Now - Quota.AskedAt < PoolRequestTimeout)
     return;
   Quota.AskedAt = TimePoint();
-  State.PoolLostUntil = Now + PoolRest;
+  State.PoolUnavailableUntil = Now + PoolBackoff;
   logEvent(LogLevel::Warning, "quota_wish_unanswered",
            {{"leader", State.Leader.Node}});
 }
@@ -357,7 +358,7 @@
                          : std::max(quota.PoolShutUntil, quota.PoolScarceUntil);
     if (isPast(shut, Now) && !isPast(patienceEnd, Now)) {
       Wish = wishForTokens(quota, Request, isFirst, Now);
-      return WaitUntil{std::min(patienceEnd, Now + PoolAnswerLimit)};
+      return WaitUntil{std::min(patienceEnd, Now + PoolRequestTimeout)};
     }
     if (!isPast(shut, Now))
       wait = std::min(wait, std::chrono::ceil<Millis>(shut - Now));
@@ -510,7 +511,7 @@
   ModelUsage &row = rowOf(State, Request);
   noteServed(row, Request);
   ++row.Open;
-  ++row.OpenAt[Endpoint];
+  ++row.OpenByEndpoint[Endpoint];
   ++Request.Sends;
   noteSent(State.Records[Endpoint]);
 }
@@ -520,9 +521,9 @@
   ModelUsage &row = rowOf(State, Request);
   if (row.Open > 0)
     --row.Open;
-  auto at = row.OpenAt.find(Endpoint);
-  if (at != row.OpenAt.end() && --at->second == 0)
-    row.OpenAt.erase(at);
+  auto at = row.OpenByEndpoint.find(Endpoint);
+  if (at != row.OpenByEndpoint.end() && --at->second == 0)
+    row.OpenByEndpoint.erase(at);
   noteClosed(State.Records[Endpoint]);
 }
 
--- a/front/front_core.h
+++ b/front/front_core.h
@@ -1,6 +1,6 @@
 /// \file
-/// What the parts of a front process share: its state, its connections and
-/// the requests that it holds. Everything runs on the context's thread.
+/// State shared by the parts of a front process: its decisions' state, its
+/// connections and its requests. Everything runs on the io_context's thread.
 #ifndef SASSAFRAS_FRONT_FRONT_CORE_H
 #define SASSAFRAS_FRONT_FRONT_CORE_H
 
@@ -20,25 +20,27 @@
 class Metrics;
 class Relay;
 
-/// Place of a waiting request: most urgent first, then oldest.
+/// Sort key of waiting requests (urgency, number): most urgent first, then
+/// oldest.
 using WaitingKey = std::pair<uint32_t, uint64_t>;
 
 struct FrontCore {
   FrontCore(boost::asio::io_context &Io, Metrics &Counts,
             std::function<void(NodeMessages)> Send,
-            std::function<void(const wire::RowDemand &)> Wish,
-            std::function<void(const wire::QuotaWish &)> AskForTokens)
+            std::function<void(const wire::RowDemand &)> ReportDemand,
+            std::function<void(const wire::QuotaWish &)> RequestTokens)
       : Io(Io), Counts(Counts), Client(Io, Counts), Send(std::move(Send)),
-        Wish(std::move(Wish)), AskForTokens(std::move(AskForTokens)) {}
+        ReportDemand(std::move(ReportDemand)),
+        RequestTokens(std::move(RequestTokens)) {}
 
   boost::asio::io_context &Io;
   Metrics &Counts;
   HttpClient Client;
   std::function<void(NodeMessages)> Send;
-  /// Tells the leader of a model that cannot be served.
-  std::function<void(const wire::RowDemand &)> Wish;
-  /// Asks the leader for tokens of an organisation.
-  std::function<void(const wire::QuotaWish &)> AskForTokens;
+  /// Reports demand for a model to the leader.
+  std::function<void(const wire::RowDemand &)> ReportDemand;
+  /// Requests tokens of an organisation's quota from the leader.
+  std::function<void(const wire::QuotaWish &)> RequestTokens;
   FrontState State;
   std::map<uint64_t, std::shared_ptr<Relay>> Relays; ///< By request number.
   std::map<const HttpExchange *, uint64_t> ByExchange;
--- a/front/front_state.cpp
+++ b/front/front_state.cpp
@@ -6,11 +6,12 @@
 
 namespace {
 
-/// Requests that have waited for this long count twice; two loads from disk.
-constexpr Millis AgingSpan{2'500};
-/// They count no more than this much more: what they ask for may be out of
-/// reach.
-constexpr double MostAging = 3;
+/// Requests that have waited for this long count twice. It is about the time of
+/// two loads from disk.
+constexpr Millis AgingPeriod{2'500};
+/// Limit of the increase, as a multiple of the worth: the model may not be
+/// loadable at all.
+constexpr double MaxAging = 3;
 
 } // namespace
 
@@ -26,8 +27,8 @@
 QuotaLimit quotaLimitOf(const FrontState &State,
                         const OrganisationSpec &Organisation, TimePoint Now) {
   bool hasPool = State.PoolHeardAt != TimePoint() &&
-                 Now - State.PoolHeardAt < PoolSilence &&
-                 isPast(State.PoolLostUntil, Now);
+                 Now - State.PoolHeardAt < PoolTimeout &&
+                 isPast(State.PoolUnavailableUntil, Now);
   return {Organisation.RatePerSecond, Organisation.Burst,
           State.Limits.Tolerance, hasPool};
 }
@@ -42,18 +43,19 @@
   return &*it->second.Engine;
 }
 
-double agedWaitingWorth(const ModelUsage &Row, TimePoint Now) {
-  double worth = isPast(Row.RetryExpectedUntil, Now) ? 0.0 : Row.WantedWorth;
-  if (Row.Waiting.empty())
+double agedWaitingWorth(const ModelUsage &Usage, TimePoint Now) {
+  double worth =
+      isPast(Usage.RetryExpectedUntil, Now) ? 0.0 : Usage.RetryExpectedWorth;
+  if (Usage.Waiting.empty())
     return worth;
-  double age = std::chrono::duration<double>(Now - Row.WaitingSince) /
-               std::chrono::duration<double>(AgingSpan);
+  double age = std::chrono::duration<double>(Now - Usage.WaitingSince) /
+               std::chrono::duration<double>(AgingPeriod);
   return std::max(worth,
-                  Row.WaitingWorth * (1 + std::clamp(age, 0.0, MostAging)));
+                  Usage.WaitingWorth * (1 + std::clamp(age, 0.0, MaxAging)));
 }
 
-void addOpenRequests(const ModelUsage &Row, wire::RowDemand &Out) {
-  for (const auto &[endpoint, count] : Row.OpenAt) {
+void addOpenRequests(const ModelUsage &Usage, wire::RowDemand &Out) {
+  for (const auto &[endpoint, count] : Usage.OpenByEndpoint) {
     wire::OpenRequests &open = *Out.add_open();
     open.set_endpoint(endpoint);
     open.set_count(count);
--- a/front/front_state.h
+++ b/front/front_state.h
@@ -1,6 +1,6 @@
 /// \file
-/// What a front knows and decides on: table, nodes, endpoints, demand and
-/// limits. Plain data; one thread.
+/// State that a front bases its decisions on: serving table, nodes, endpoints,
+/// demand and limits. Plain data; not thread safe.
 #ifndef SASSAFRAS_FRONT_FRONT_STATE_H
 #define SASSAFRAS_FRONT_FRONT_STATE_H
 
@@ -21,39 +21,40 @@
 
 namespace sassafras {
 
-/// Settings that the decisions of a front depend on.
+/// Settings that a front's decisions depend on.
 struct FrontLimits {
   RetryLimits Retries;
   QuotaTolerance Tolerance;
-  /// A refused model stays wanted until its callers come back: so long at least
-  /// and at most.
-  Millis WishMemory{3'000};
-  Millis MostWishMemory{10'000};
-  /// Requests that may wait at one front; each holds its body in memory.
-  size_t MostWaiting = 1'000;
+  /// Demand for a refused model is kept until its callers are due to retry,
+  /// within these bounds.
+  Millis MinDemandRetention{3'000};
+  Millis MaxDemandRetention{10'000};
+  /// Limit of waiting requests at one front for each model or service; each
+  /// holds its body in memory.
+  size_t MaxWaitingRequests = 1'000;
 };
 
-/// Use of one model at this front.
+/// Use of one model or plain service at this front.
 struct ModelUsage {
-  uint32_t Arrivals = 0;                  ///< Since the last heartbeat.
-  double Worth = 0;                       ///< Of those arrivals.
-  uint32_t Open = 0;                      ///< Under way at endpoints.
-  std::map<std::string, uint32_t> OpenAt; ///< By endpoint.
-  std::set<uint64_t> Waiting;             ///< Numbers of requests.
+  uint32_t Arrivals = 0;                          ///< Since the last heartbeat.
+  double Worth = 0;                               ///< Sum over those arrivals.
+  uint32_t Open = 0;                              ///< In progress at endpoints.
+  std::map<std::string, uint32_t> OpenByEndpoint; ///< The same by endpoint.
+  std::set<uint64_t> Waiting;                     ///< Request numbers.
   double WaitingWorth = 0;
-  TimePoint WaitingSince;       ///< Somebody has waited from then on.
-  TimePoint RetryExpectedUntil; ///< A caller was told to come back.
-  double WantedWorth = 0;
-  TimePoint NextWish; ///< The leader is told at once, but not too often.
-  TimePoint NextAgentRequest; ///< The same for agents, while nobody leads.
-  TimePoint ReadyAt;          ///< Loaded by then, as the leader planned last.
-  TimePoint ForecastAt;       ///< When it said so.
+  TimePoint WaitingSince;       ///< At least one request has waited since then.
+  TimePoint RetryExpectedUntil; ///< Refused callers should retry by then.
+  double RetryExpectedWorth = 0;
+  TimePoint NextDemandReport; ///< Limits the rate of reports to the leader.
+  TimePoint NextAgentRequest; ///< The same for agents, without a leader.
+  TimePoint ReadyAt;    ///< End of the load, by the leader's last forecast.
+  TimePoint ForecastAt; ///< When that forecast was received.
 };
 
 struct KnownLeader {
   std::string Node;
-  std::string Address;        ///< Inner.
-  std::string ControlAddress; ///< Operators'.
+  std::string Address;        ///< Of its link.
+  std::string ControlAddress; ///< For operators.
   uint64_t Term = 0;
   TimePoint HeardAt;
 };
@@ -61,61 +62,63 @@
 struct FrontState {
   wire::NodeEntry Self;
   FrontLimits Limits;
-  ServingTablePtr Table;    ///< Null until one is known.
-  std::string TableContent; ///< As it is passed on.
+  ServingTablePtr Table;    ///< Null until the first is received.
+  std::string TableContent; ///< In the form in which it is sent to other nodes.
   sassafras::Roster Roster;
   EndpointDirectory Directory;
   std::map<std::string, EndpointRecord> Records; ///< By endpoint id.
   std::map<std::string, LocalQuota> Quotas;
-  std::map<std::string, RetryBudget> Retries;    ///< By service.
-  std::map<std::string, ModelUsage> ModelUsages; ///< By model.
-  /// When an adapter may be asked for again, by engine and adapter.
+  std::map<std::string, RetryBudget> Retries; ///< By service.
+  /// By model, or "service NAME" for plain services.
+  std::map<std::string, ModelUsage> ModelUsages;
+  /// Time of the next request for an adapter, by "endpoint/model/adapter".
   std::map<std::string, TimePoint> NextAdapterRequests;
-  /// Endpoints that are there have announced themselves by then.
+  /// All running endpoints have announced themselves by then.
   TimePoint EndpointDiscoveryEnd;
-  KnownLeader Leader; ///< Another front; a leader does not hear itself.
+  KnownLeader Leader; ///< Another front; not set by own heartbeats.
   bool IsLeading = false;
-  TimePoint PoolHeardAt;   ///< Of the leader's last share or grant.
-  TimePoint PoolLostUntil; ///< It left a wish unanswered.
+  TimePoint PoolHeardAt;          ///< Time of the leader's last share or grant.
+  TimePoint PoolUnavailableUntil; ///< After a quota request without a reply.
   uint64_t SharesTerm = 0;
   uint64_t SharesNumber = 0;
   bool IsStopping = false;
   std::mt19937_64 Random;
 };
 
-/// Fronts in view, this one included.
+/// Number of fronts in view, this one included.
 size_t countFronts(const FrontState &State, TimePoint Now);
-/// A leader from which no share came for this long is not asked for tokens;
-/// some of its periods.
-inline constexpr Millis PoolSilence{1'200};
-/// A wish for tokens is answered within this: the way to the leader and back,
-/// with room for a slow host.
-inline constexpr Millis PoolAnswerLimit{180};
-/// After one that was not, the front goes by its own share for this long.
-inline constexpr Millis PoolRest{500};
+/// A leader that sent no share or grant for this long is not asked for tokens;
+/// several of its sending periods.
+inline constexpr Millis PoolTimeout{1'200};
+/// Time-out of a token request to the leader: a round trip, with a margin for a
+/// slow host.
+inline constexpr Millis PoolRequestTimeout{180};
+/// After such a time-out, the front uses only its own share for this long.
+inline constexpr Millis PoolBackoff{500};
 
-/// The leader's forecast of a load is there within this: two of its periods and
-/// the way.
+/// The leader's forecast of a load arrives within this time: two of its periods
+/// and the transmission.
 inline constexpr Millis ForecastTimeout{500};
-/// What it said counts for this long.
+/// A forecast is used for this long.
 inline constexpr Millis ForecastLifetime{1'000};
 
-/// True while a leader plans: this front, or one that was heard lately. Pure.
+/// True if this front leads, or a leader was heard within NodeSilence. Pure.
 bool hasLeader(const FrontState &State, TimePoint Now);
 
-/// Limit of the organisation in force, none when it has none.
+/// The quota limit of the organisation in force; its rate is 0 for no limit.
 QuotaLimit quotaLimitOf(const FrontState &State,
                         const OrganisationSpec &Organisation, TimePoint Now);
-/// Engine parameters of \p Service, or null for plain services.
+/// Engine parameters of \p Service. Null for plain services, unknown services,
+/// and without a table. Valid while the table of \p State is kept.
 const EngineSpec *findEngineSpec(const FrontState &State,
                                  const std::string &Service);
-/// Worth that the leader is told of the requests that wait for a model. It
-/// grows with the time for which they have waited, so that several models which
-/// lie at one engine only are loaded in turn.
-double agedWaitingWorth(const ModelUsage &Row, TimePoint Now);
-/// Adds the requests of \p Row under way at each endpoint.
-void addOpenRequests(const ModelUsage &Row, wire::RowDemand &Out);
-/// Sizes that an agent needs to keep within its engine's memory.
+/// Worth of the requests that wait for a model, as reported to the leader. It
+/// grows with the waiting time, so that several models that are available at
+/// only one engine are loaded in turn.
+double agedWaitingWorth(const ModelUsage &Usage, TimePoint Now);
+/// Adds the number of requests of \p Usage in progress at each endpoint.
+void addOpenRequests(const ModelUsage &Usage, wire::RowDemand &Out);
+/// Sizes that an agent needs to stay within its engine's memory.
 wire::EngineSizes makeEngineSizes(const EngineSpec &Spec);
 
 } // namespace sassafras
--- a/front/relay.cpp
+++ b/front/relay.cpp
@@ -111,9 +111,9 @@
   if (!messages.empty())
     Core.Send(std::move(messages));
   if (Result.Wish)
-    Core.Wish(*Result.Wish);
+    Core.ReportDemand(*Result.Wish);
   if (Result.QuotaWish)
-    Core.AskForTokens(*Result.QuotaWish);
+    Core.RequestTokens(*Result.QuotaWish);
   if (auto *target = std::get_if<SendTo>(&Result.Decision)) {
     setWaiting(false);
     send(*target);
--- a/tests/front/test_dispatch.cpp
+++ b/tests/front/test_dispatch.cpp
@@ -339,13 +339,13 @@
   const DispatchResult refused = decideDispatch(state, request, now);
   REQUIRE(refusalOf(refused) != nullptr);
   CHECK(refusalOf(refused)->RetryAfter >= patience - Millis(50));
-  CHECK(row.RetryExpectedUntil - now >= state.Limits.WishMemory);
+  CHECK(row.RetryExpectedUntil - now >= state.Limits.MinDemandRetention);
   row.ReadyAt = now + Millis(7'000);
   REQUIRE(refusalOf(decideDispatch(state, request, now)) != nullptr);
   CHECK(row.RetryExpectedUntil - now >= Millis(7'000));
   row.ReadyAt = now + std::chrono::minutes(1);
   REQUIRE(refusalOf(decideDispatch(state, request, now)) != nullptr);
-  CHECK(row.RetryExpectedUntil - now == state.Limits.MostWishMemory);
+  CHECK(row.RetryExpectedUntil - now == state.Limits.MaxDemandRetention);
 }
 
 // Several models lay on the disk of one engine only. Those that were worth a
@@ -363,7 +363,7 @@
     ModelUsage &row = state.ModelUsages["m"];
     row.ForecastAt = now;
     row.ReadyAt = now + Millis(500);
-    row.NextWish = TimePoint();
+    row.NextDemandReport = TimePoint();
     state.Directory.Endpoints["e1"].HeardAt = now;
     state.Leader.HeardAt = now;
     auto wish = decideDispatch(state, request, now).Wish;
