--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -9,53 +9,62 @@
 
 namespace {
 
-/// A request that waits is looked at again after this time at the latest.
-constexpr Millis WaitPeriod{200};
-/// From an order to a loaded model beyond the load itself: the way to the
-/// leader and the agent, an unload, and the report back.
+/// Longest time between two decisions on a waiting request.
+constexpr Millis RecheckPeriod{200};
+/// Time from an order to a loaded model in addition to the load itself:
+/// messages to the leader and the agent, an unload, and the report back.
 constexpr Millis LoadOverhead{300};
-/// The same while no leader is known: an election, and what follows it.
-constexpr Millis ElectionWait{2'000};
-/// An adapter that was asked for and is not there is asked for again.
-constexpr Millis AdapterRetry{150};
-constexpr Millis WishPeriod{100};
-/// A load may take this part longer than forecast: an unload before it, others
-/// beside it. Who cannot wait so long is better told when to come back.
-constexpr int ForecastMarginPart = 10;
-/// A running request holds its slot about so long; from the sheets' sizes.
-constexpr Millis MeanService{1'700};
-constexpr Millis MeanPlainService{80};
-/// Callers told to come back are spread over this part more of the time.
-constexpr double RetrySpread = 0.5;
-constexpr Millis LeastRetryAfter{200};
-/// A service without any endpoint has one again after a restart of some
+/// Time allowed for a forecast while no leader is known: an election, and the
+/// steps from there to a forecast.
+constexpr Millis LeaderlessForecastTimeout{2'000};
+/// Period after which a request for a missing adapter is repeated.
+constexpr Millis AdapterRetryPeriod{150};
+/// Shortest time between two demand reports for a model.
+constexpr Millis DemandReportPeriod{100};
+/// A load may exceed its forecast by one part in this many, because of an
+/// unload before it or other loads at the same time. A caller that cannot wait
+/// that long is refused at once with a time to retry.
+constexpr int ForecastMarginDivisor = 10;
+/// Mean time for which a running request holds its slot; from the sheets'
+/// sizes.
+constexpr Millis MeanEngineServiceTime{1'700};
+/// The same for plain services.
+constexpr Millis MeanPlainServiceTime{80};
+/// Retry-After times are extended by a random part of up to this, so that
+/// refused callers do not all return together.
+constexpr double RetryAfterJitter = 0.5;
+constexpr Millis MinRetryAfter{200};
+/// Retry-After for a service without any usable endpoint; restarts take some
 /// seconds.
-constexpr Millis NoEndpointRetry{1'000};
-/// An endpoint that rejects a request is full or changing its models.
-constexpr Millis RejectPause{60};
-/// A caller's tokens are waited for no longer than this part of its objective.
-constexpr int QuotaWaitPart = 2;
-/// Sends of one request, refusals of endpoints included.
-constexpr uint32_t MostSends = 4;
-
-Millis spreadRetry(FrontState &State, Millis After) {
-  std::uniform_real_distribution<double> spread(1, 1 + RetrySpread);
-  double ms = static_cast<double>(std::max(After, LeastRetryAfter).count());
+constexpr Millis NoEndpointRetryAfter{1'000};
+/// Pause of an endpoint after it rejected a request: it is full, or loads and
+/// unloads models.
+constexpr Millis RejectionPause{60};
+/// A request waits for quota tokens for at most its latency objective divided
+/// by this.
+constexpr int QuotaWaitDivisor = 2;
+/// Limit of the sends of one request, including those that endpoints reject.
+constexpr uint32_t MaxSends = 4;
+
+Millis jitterRetryAfter(FrontState &State, Millis After) {
+  std::uniform_real_distribution<double> spread(1, 1 + RetryAfterJitter);
+  double ms = static_cast<double>(std::max(After, MinRetryAfter).count());
   return Millis(static_cast<int64_t>(ms * spread(State.Random)));
 }
 
-FrontRefusal refuse(FrontState &State, RefusalReason Reason, Millis After) {
-  return {Reason, spreadRetry(State, After)};
+FrontRefusal makeRefusal(FrontState &State, RefusalReason Reason,
+                         Millis After) {
+  return {Reason, jitterRetryAfter(State, After)};
 }
 
-/// Everything a request's model needs to know of the endpoints of its service.
-struct Field {
-  std::vector<EndpointCandidate> Candidates; ///< Could run it now.
+/// Endpoints of a request's service that could take it, as seen from here.
+struct EndpointSurvey {
+  std::vector<EndpointCandidate> Candidates; ///< Could run the request now.
   std::vector<const EngineState *> Engines;  ///< Of the candidates.
   std::vector<const KnownEndpoint *> Endpoints;
-  size_t ModelHolders = 0; ///< Have the model, with or without the adapter.
-  bool IsNear = false;     ///< Some engine has the weights in memory or disk.
-  size_t Usable = 0;
+  size_t EnginesWithModel = 0;  ///< With or without the adapter.
+  bool HasLocalWeights = false; ///< In memory or on disk of some engine.
+  size_t UsableCount = 0;
 };
 
 bool hasAdapter(const EngineState &Engine, const FrontRequest &Request) {
@@ -81,25 +90,26 @@
   return out;
 }
 
-Field surveyEndpoints(FrontState &State, const FrontRequest &Request,
-                      bool IsEngine, TimePoint Now) {
-  Field out;
+EndpointSurvey surveyEndpoints(FrontState &State, const FrontRequest &Request,
+                               bool IsEngine, TimePoint Now) {
+  EndpointSurvey out;
   for (const auto &[id, known] : State.Directory.Endpoints) {
     if (known.Service != Request.Service || !isUsable(known, Now) ||
         Request.FailedEndpoints.contains(id))
       continue;
-    ++out.Usable;
+    ++out.UsableCount;
     const EngineState *engine =
         IsEngine ? engineOf(State.Directory, known) : nullptr;
     if (IsEngine) {
       if (!engine || engine->IsSilent)
         continue;
       const std::string &model = Request.Attributes.Model;
-      out.IsNear = out.IsNear || engine->OnDisk.contains(model) ||
-                   engine->InMemory.contains(model);
+      out.HasLocalWeights = out.HasLocalWeights ||
+                            engine->OnDisk.contains(model) ||
+                            engine->InMemory.contains(model);
       if (!engine->Models.contains(model))
         continue;
-      ++out.ModelHolders;
+      ++out.EnginesWithModel;
     }
     out.Candidates.push_back(makeCandidate(State, Request, known, Now));
     out.Engines.push_back(engine);
@@ -108,11 +118,13 @@
   return out;
 }
 
-/// Picks among the engines that hold the model one for the adapter, spread by
-/// rendezvous hashing so that each adapter stays on few engines.
-std::optional<AskForAdapter> wishForAdapter(FrontState &State,
-                                            const FrontRequest &Request,
-                                            const Field &Found, TimePoint Now) {
+/// Picks an engine for the adapter among those that have the model loaded.
+/// Rendezvous hashing spreads the adapters and keeps each on few engines.
+/// Returns nothing while the previous request for it is recent.
+std::optional<AdapterLoadRequest> requestAdapter(FrontState &State,
+                                                 const FrontRequest &Request,
+                                                 const EndpointSurvey &Found,
+                                                 TimePoint Now) {
   std::optional<size_t> best;
   uint64_t bestRank = 0;
   for (size_t i = 0; i < Found.Candidates.size(); ++i) {
@@ -137,21 +149,22 @@
   TimePoint &next = State.NextAdapterRequests[key];
   if (!isPast(next, Now))
     return std::nullopt;
-  next = Now + AdapterRetry;
-  AskForAdapter out;
+  next = Now + AdapterRetryPeriod;
+  AdapterLoadRequest out;
   out.Agent = Found.Engines[*best]->Agent;
-  out.Wish.set_engine_address(target.Address);
-  out.Wish.set_endpoint(target.Id);
-  out.Wish.set_model(Request.Attributes.Model);
-  out.Wish.set_adapter(Request.Attributes.Adapter);
-  *out.Wish.mutable_sizes() = makeEngineSizes(*spec);
+  out.Message.set_engine_address(target.Address);
+  out.Message.set_endpoint(target.Id);
+  out.Message.set_model(Request.Attributes.Model);
+  out.Message.set_adapter(Request.Attributes.Adapter);
+  *out.Message.mutable_sizes() = makeEngineSizes(*spec);
   return out;
 }
 
-void keepAdapterHolders(const FrontRequest &Request, Field &Found) {
+void keepEnginesWithAdapter(const FrontRequest &Request,
+                            EndpointSurvey &Found) {
   if (Request.Attributes.Adapter.empty())
     return;
-  Field kept = Found;
+  EndpointSurvey kept = Found;
   kept.Candidates.clear();
   kept.Engines.clear();
   kept.Endpoints.clear();
@@ -165,89 +178,97 @@
   Found = std::move(kept);
 }
 
-void noteWaiting(ModelUsage &Row, const FrontRequest &Request, TimePoint Now) {
-  if (Row.Waiting.empty())
-    Row.WaitingSince = Now;
-  if (Row.Waiting.insert(Request.Number).second)
-    Row.WaitingWorth += Request.Worth;
+void addWaiting(ModelUsage &Usage, const FrontRequest &Request, TimePoint Now) {
+  if (Usage.Waiting.empty())
+    Usage.WaitingSince = Now;
+  if (Usage.Waiting.insert(Request.Number).second)
+    Usage.WaitingWorth += Request.Worth;
 }
 
-void noteServed(ModelUsage &Row, const FrontRequest &Request) {
-  if (Row.Waiting.erase(Request.Number) > 0)
-    Row.WaitingWorth -= Request.Worth;
-  if (Row.Waiting.empty())
-    Row.WaitingWorth = 0;
+void removeWaiting(ModelUsage &Usage, const FrontRequest &Request) {
+  if (Usage.Waiting.erase(Request.Number) > 0)
+    Usage.WaitingWorth -= Request.Worth;
+  if (Usage.Waiting.empty())
+    Usage.WaitingWorth = 0;
 }
 
 std::optional<wire::RowDemand>
-wishForModel(ModelUsage &Row, const std::string &Model, TimePoint Now) {
-  if (!isPast(Row.NextDemandReport, Now))
+makeDemandReport(ModelUsage &Usage, const std::string &Model, TimePoint Now) {
+  if (!isPast(Usage.NextDemandReport, Now))
     return std::nullopt;
-  Row.NextDemandReport = Now + WishPeriod;
+  Usage.NextDemandReport = Now + DemandReportPeriod;
   wire::RowDemand out;
   out.set_model(Model);
   out.set_waiting(
-      static_cast<uint32_t>(std::max<size_t>(Row.Waiting.size(), 1)));
-  out.set_waiting_worth(agedWaitingWorth(Row, Now));
-  out.set_busy(Row.Open + static_cast<uint32_t>(Row.Waiting.size()));
-  addOpenRequests(Row, out);
+      static_cast<uint32_t>(std::max<size_t>(Usage.Waiting.size(), 1)));
+  out.set_waiting_worth(agedWaitingWorth(Usage, Now));
+  out.set_busy(Usage.Open + static_cast<uint32_t>(Usage.Waiting.size()));
+  addOpenRequests(Usage, out);
   return out;
 }
 
-/// True while the leader has not had time to say when a model will be there.
-/// It alone knows which engines have the weights near.
-bool isForecastDue(const FrontState &State, const FrontRequest &Request,
-                   TimePoint Now) {
-  Millis wait = hasLeader(State, Now) ? ForecastTimeout : ElectionWait;
+/// True while the leader's forecast for a model may still be on its way. Only
+/// the leader knows which engines have the weights in memory or on disk.
+bool isForecastPending(const FrontState &State, const FrontRequest &Request,
+                       TimePoint Now) {
+  Millis wait =
+      hasLeader(State, Now) ? ForecastTimeout : LeaderlessForecastTimeout;
   return Now - Request.ArrivedAt < wait;
 }
 
-/// Time until a model that no engine holds could start this request: as the
-/// leader said; while it has not, as if the weights were near; then by what is
-/// known here.
-Millis predictLoad(const FrontState &State, const FrontRequest &Request,
-                   const Field &Found, const ModelUsage &Row, TimePoint Now) {
-  if (Row.ForecastAt != TimePoint() && Now - Row.ForecastAt < ForecastLifetime)
-    return std::max(std::chrono::duration_cast<Millis>(Row.ReadyAt - Now),
+/// Time until a model that is not loaded could start this request: the leader's
+/// forecast while it is valid; while one is pending, the load time from disk;
+/// otherwise an estimate from what this front knows. Millis::max() for a model
+/// that the service does not have.
+Millis estimateLoadTime(const FrontState &State, const FrontRequest &Request,
+                        const EndpointSurvey &Found, const ModelUsage &Usage,
+                        TimePoint Now) {
+  if (Usage.ForecastAt != TimePoint() &&
+      Now - Usage.ForecastAt < ForecastLifetime)
+    return std::max(std::chrono::duration_cast<Millis>(Usage.ReadyAt - Now),
                     LoadOverhead);
   const EngineSpec *spec = findEngineSpec(State, Request.Service);
   auto model = spec->Models.find(Request.Attributes.Model);
   if (model == spec->Models.end())
     return Millis::max();
-  bool mayBeNear = Found.IsNear || isForecastDue(State, Request, Now);
-  Millis load = mayBeNear ? model->second.DiskLoad : model->second.StoreLoad;
+  bool mayBeLocal =
+      Found.HasLocalWeights || isForecastPending(State, Request, Now);
+  Millis load = mayBeLocal ? model->second.DiskLoad : model->second.StoreLoad;
   Millis waited = std::chrono::duration_cast<Millis>(Now - Request.ArrivedAt);
   return LoadOverhead + (load > waited ? load - waited : Millis(0));
 }
 
-/// No engine holds the model: it waits while a load can be over in time.
-DispatchResult awaitModel(FrontState &State, FrontRequest &Request,
-                          const Field &Found, TimePoint Now) {
+/// The model is not loaded: the request waits if a load can complete in time,
+/// and is refused otherwise.
+DispatchResult waitForModel(FrontState &State, FrontRequest &Request,
+                            const EndpointSurvey &Found, TimePoint Now) {
   DispatchResult out;
-  ModelUsage &row = State.ModelUsages[Request.Attributes.Model];
-  Millis left = predictLoad(State, Request, Found, row, Now);
+  ModelUsage &usage = State.ModelUsages[Request.Attributes.Model];
+  Millis left = estimateLoadTime(State, Request, Found, usage, Now);
   if (left == Millis::max()) {
-    out.Decision = refuse(State, RefusalReason::NoCapacity, LoadOverhead);
+    out.Decision = makeRefusal(State, RefusalReason::NoCapacity, LoadOverhead);
     return out;
   }
-  if (Now + left + left / ForecastMarginPart > Request.FirstByteDeadline) {
-    row.RetryExpectedUntil =
+  if (Now + left + left / ForecastMarginDivisor > Request.FirstByteDeadline) {
+    usage.RetryExpectedUntil =
         Now + std::clamp(left, State.Limits.MinDemandRetention,
                          State.Limits.MaxDemandRetention);
-    row.RetryExpectedWorth = Request.Worth;
-    out.Wish = wishForModel(row, Request.Attributes.Model, Now);
-    out.Decision = refuse(State, RefusalReason::DeadlineUnreachable, left);
+    usage.RetryExpectedWorth = Request.Worth;
+    out.DemandReport = makeDemandReport(usage, Request.Attributes.Model, Now);
+    out.Decision = makeRefusal(State, RefusalReason::DeadlineUnreachable, left);
     return out;
   }
-  noteWaiting(row, Request, Now);
-  out.Wish = wishForModel(row, Request.Attributes.Model, Now);
-  out.Load = askWithoutLeader(State, Request, Now);
-  out.Decision = WaitUntil{Now + WaitPeriod};
+  addWaiting(usage, Request, Now);
+  out.DemandReport = makeDemandReport(usage, Request.Attributes.Model, Now);
+  out.LoadRequest = askWithoutLeader(State, Request, Now);
+  out.Decision = WaitUntil{Now + RecheckPeriod};
   return out;
 }
 
-/// Time until a slot frees for a request behind \p Ahead others.
-Millis predictQueue(const Field &Found, size_t Ahead, Millis Service) {
+/// Time until a slot is free for a request behind \p Ahead others, at a mean
+/// time of \p Service for each.
+Millis estimateQueueTime(const EndpointSurvey &Found, size_t Ahead,
+                         Millis Service) {
   double slots = 0;
   for (const EndpointCandidate &it : Found.Candidates)
     slots += it.Slots;
@@ -257,24 +278,26 @@
                                      static_cast<double>(Ahead + 1) / slots));
 }
 
-DispatchResult awaitSlot(FrontState &State, FrontRequest &Request,
-                         const Field &Found, bool IsEngine, TimePoint Now) {
+DispatchResult waitForSlot(FrontState &State, FrontRequest &Request,
+                           const EndpointSurvey &Found, bool IsEngine,
+                           TimePoint Now) {
   DispatchResult out;
-  ModelUsage &row = State.ModelUsages[IsEngine ? Request.Attributes.Model
-                                               : "service " + Request.Service];
-  size_t ahead = row.Waiting.size() * countFronts(State, Now);
-  Millis wait =
-      predictQueue(Found, ahead, IsEngine ? MeanService : MeanPlainService);
-  bool isKnown = row.Waiting.contains(Request.Number);
-  if ((!isKnown && row.Waiting.size() >= State.Limits.MaxWaitingRequests) ||
-      Now + (isKnown ? Millis(0) : wait) > Request.FirstByteDeadline) {
-    out.Decision = refuse(State, RefusalReason::NoCapacity, wait);
+  ModelUsage &usage =
+      State.ModelUsages[IsEngine ? Request.Attributes.Model
+                                 : "service " + Request.Service];
+  size_t ahead = usage.Waiting.size() * countFronts(State, Now);
+  Millis wait = estimateQueueTime(
+      Found, ahead, IsEngine ? MeanEngineServiceTime : MeanPlainServiceTime);
+  bool isQueued = usage.Waiting.contains(Request.Number);
+  if ((!isQueued && usage.Waiting.size() >= State.Limits.MaxWaitingRequests) ||
+      Now + (isQueued ? Millis(0) : wait) > Request.FirstByteDeadline) {
+    out.Decision = makeRefusal(State, RefusalReason::NoCapacity, wait);
     return out;
   }
-  noteWaiting(row, Request, Now);
+  addWaiting(usage, Request, Now);
   if (IsEngine)
-    out.Wish = wishForModel(row, Request.Attributes.Model, Now);
-  out.Decision = WaitUntil{Now + WaitPeriod};
+    out.DemandReport = makeDemandReport(usage, Request.Attributes.Model, Now);
+  out.Decision = WaitUntil{Now + RecheckPeriod};
   return out;
 }
 
@@ -295,9 +318,9 @@
             {"wait_ms", std::to_string(Wait.count())}});
 }
 
-/// Asks the leader for what the requests that wait here are short of, one wish
-/// at a time.
-std::optional<wire::QuotaWish> wishForTokens(LocalQuota &Quota,
+/// Requests from the leader the tokens that the waiting requests lack. Returns
+/// nothing while a previous request is unanswered.
+std::optional<wire::QuotaWish> requestTokens(LocalQuota &Quota,
                                              const FrontRequest &Request,
                                              bool IsFavoured, TimePoint Now) {
   Quota.Wanting[Request.Number] = Request.Cost;
@@ -315,9 +338,9 @@
   return out;
 }
 
-/// A leader that did not answer the last wish in time may be gone: for a while
-/// nobody is asked.
-void noteUnanswered(FrontState &State, LocalQuota &Quota, TimePoint Now) {
+/// Gives up a token request that the leader did not answer in time. The leader
+/// may be down, so none is sent to it for PoolBackoff.
+void expireQuotaRequest(FrontState &State, LocalQuota &Quota, TimePoint Now) {
   if (Quota.AskedAt == TimePoint() || Now - Quota.AskedAt < PoolRequestTimeout)
     return;
   Quota.AskedAt = TimePoint();
@@ -326,19 +349,20 @@
            {{"leader", State.Leader.Node}});
 }
 
-/// Charges the organisation. A decision only when the request must not go on.
-std::optional<DispatchDecision> charge(FrontState &State, FrontRequest &Request,
-                                       TimePoint Now,
-                                       std::optional<wire::QuotaWish> &Wish) {
+/// Charges the organisation's quota. Returns a decision only if the request
+/// must wait or is refused.
+std::optional<DispatchDecision>
+chargeQuota(FrontState &State, FrontRequest &Request, TimePoint Now,
+            std::optional<wire::QuotaWish> &TokenRequest) {
   if (Request.IsCharged || Request.Organisation.empty())
     return std::nullopt;
-  // The limit in force now, not the one at arrival, is what binds.
+  // The limit in force now applies, not the one at arrival.
   const OrganisationSpec *organisation =
       findOrganisation(*State.Table, Request.Attributes.Key);
   if (!organisation)
     return FrontRefusal{RefusalReason::KeyUnknown, {}};
   LocalQuota &quota = State.Quotas[organisation->Name];
-  noteUnanswered(State, quota, Now);
+  expireQuotaRequest(State, quota, Now);
   QuotaLimit limit = quotaLimitOf(State, *organisation, Now);
   size_t fronts = countFronts(State, Now);
   QuotaClaim claim{Request.Cost, Request.Worth};
@@ -347,46 +371,46 @@
     quota.Wanting.erase(Request.Number);
     return std::nullopt;
   }
-  Clock::duration patience =
-      (Request.ObjectiveDeadline - Request.ArrivedAt) / QuotaWaitPart;
-  TimePoint patienceEnd = Request.ArrivedAt + patience;
+  Clock::duration maxWait =
+      (Request.ObjectiveDeadline - Request.ArrivedAt) / QuotaWaitDivisor;
+  TimePoint waitEnd = Request.ArrivedAt + maxWait;
   Millis wait = waitForQuota(quota, limit, claim, fronts, Now);
   if (limit.HasPool) {
-    bool isFirst = isFavoured(quota, claim);
-    TimePoint shut = isFirst
-                         ? quota.PoolShutUntil
-                         : std::max(quota.PoolShutUntil, quota.PoolScarceUntil);
-    if (isPast(shut, Now) && !isPast(patienceEnd, Now)) {
-      Wish = wishForTokens(quota, Request, isFirst, Now);
-      return WaitUntil{std::min(patienceEnd, Now + PoolRequestTimeout)};
+    bool isPreferred = isFavoured(quota, claim);
+    TimePoint closedUntil =
+        isPreferred ? quota.PoolShutUntil
+                    : std::max(quota.PoolShutUntil, quota.PoolScarceUntil);
+    if (isPast(closedUntil, Now) && !isPast(waitEnd, Now)) {
+      TokenRequest = requestTokens(quota, Request, isPreferred, Now);
+      return WaitUntil{std::min(waitEnd, Now + PoolRequestTimeout)};
     }
-    if (!isPast(shut, Now))
-      wait = std::min(wait, std::chrono::ceil<Millis>(shut - Now));
+    if (!isPast(closedUntil, Now))
+      wait = std::min(wait, std::chrono::ceil<Millis>(closedUntil - Now));
   }
   quota.Wanting.erase(Request.Number);
-  if (isPast(patienceEnd, Now) || Now + wait > patienceEnd) {
+  if (isPast(waitEnd, Now) || Now + wait > waitEnd) {
     logQuotaRefusal(Request, quota, fronts, wait, Now);
-    return refuse(State, RefusalReason::RateExceeded, wait);
+    return makeRefusal(State, RefusalReason::RateExceeded, wait);
   }
   return WaitUntil{Now + wait};
 }
 
-void returnCharge(FrontState &State, FrontRequest &Request) {
+void refundQuota(FrontState &State, FrontRequest &Request) {
   if (!Request.IsCharged || Request.Runs > 0)
     return;
   Request.IsCharged = false;
   returnQuota(State.Quotas[Request.Organisation], Request.Cost);
 }
 
-bool takeRetryFor(FrontState &State, const FrontRequest &Request,
-                  TimePoint Now) {
+bool takeRetryToken(FrontState &State, const FrontRequest &Request,
+                    TimePoint Now) {
   return takeRetry(State.Retries[Request.Service], State.Limits.Retries,
                    countFronts(State, Now));
 }
 
-/// How long a request that an endpoint rejected waits for its next send while
+/// Until then a request that an endpoint rejected waits for its next send while
 /// the retry budget is used up. The budget grows with each arrival.
-TimePoint retryPatienceEnd(const FrontRequest &Request) {
+TimePoint retryWaitEnd(const FrontRequest &Request) {
   return Request.Route->Kind == RequestKind::Streaming
              ? Request.FirstByteDeadline
              : Request.ObjectiveDeadline;
@@ -406,14 +430,14 @@
   return RetryReason::AnswerBroken;
 }
 
-/// A refusal that says "not run" is given only when that is certain.
-FrontRefusal refusalAfter(FrontState &State, const FrontRequest &Request,
-                          TimePoint Now) {
+/// Refusal after a failed exchange. It says "not run" only if that is certain.
+FrontRefusal refusalAfterFailure(FrontState &State, const FrontRequest &Request,
+                                 TimePoint Now) {
   if (Request.Runs > 0)
     return {isPast(Request.Deadline, Now) ? RefusalReason::TimeoutRunning
                                           : RefusalReason::EndpointFailed,
             {}};
-  return refuse(State, RefusalReason::RetriesExhausted, LeastRetryAfter);
+  return makeRefusal(State, RefusalReason::RetriesExhausted, MinRetryAfter);
 }
 
 } // namespace
@@ -428,42 +452,44 @@
                      {}};
     return out;
   }
-  if (auto decision = charge(State, Request, Now, out.QuotaWish)) {
+  if (auto decision = chargeQuota(State, Request, Now, out.QuotaRequest)) {
     out.Decision = *decision;
     return out;
   }
   const EngineSpec *spec = findEngineSpec(State, Request.Service);
   bool isEngine = spec && !Request.Attributes.Model.empty();
-  Field found = surveyEndpoints(State, Request, isEngine, Now);
-  if (found.Usable == 0 && !Request.FailedEndpoints.empty()) {
-    // All have failed it once; whichever is there may try again.
+  EndpointSurvey found = surveyEndpoints(State, Request, isEngine, Now);
+  if (found.UsableCount == 0 && !Request.FailedEndpoints.empty()) {
+    // All usable endpoints have failed the request once; all may be tried
+    // again.
     Request.FailedEndpoints.clear();
     found = surveyEndpoints(State, Request, isEngine, Now);
   }
-  if (found.Usable == 0) {
-    // A front that has just started has not heard of the endpoints yet.
+  if (found.UsableCount == 0) {
+    // A front that has just started may not have discovered the endpoints yet.
     if (!isPast(State.EndpointDiscoveryEnd, Now) &&
         State.EndpointDiscoveryEnd < Request.FirstByteDeadline) {
       if (isEngine)
-        out.Load = askWithoutLeader(State, Request, Now);
-      out.Decision = WaitUntil{Now + WaitPeriod};
+        out.LoadRequest = askWithoutLeader(State, Request, Now);
+      out.Decision = WaitUntil{Now + RecheckPeriod};
       return out;
     }
-    out.Decision = refuse(State, RefusalReason::NoCapacity, NoEndpointRetry);
+    out.Decision =
+        makeRefusal(State, RefusalReason::NoCapacity, NoEndpointRetryAfter);
     return out;
   }
-  if (isEngine && found.ModelHolders == 0)
-    return awaitModel(State, Request, found, Now);
+  if (isEngine && found.EnginesWithModel == 0)
+    return waitForModel(State, Request, found, Now);
   if (isEngine && !Request.Attributes.Adapter.empty()) {
-    Field all = found;
-    keepAdapterHolders(Request, found);
+    EndpointSurvey all = found;
+    keepEnginesWithAdapter(Request, found);
     if (!chooseEndpoint(found.Candidates, State.Self.zone(), 0, Now))
-      if (auto wish = wishForAdapter(State, Request, all, Now))
-        out.Wishes.push_back(std::move(*wish));
+      if (auto request = requestAdapter(State, Request, all, Now))
+        out.AdapterRequests.push_back(std::move(*request));
     if (found.Candidates.empty()) {
-      DispatchResult wait = awaitSlot(State, Request, all, isEngine, Now);
-      wait.Wishes = std::move(out.Wishes);
-      wait.Wish.reset();
+      DispatchResult wait = waitForSlot(State, Request, all, isEngine, Now);
+      wait.AdapterRequests = std::move(out.AdapterRequests);
+      wait.DemandReport.reset();
       return wait;
     }
   }
@@ -471,16 +497,16 @@
   auto chosen = chooseEndpoint(found.Candidates, State.Self.zone(),
                                point(State.Random), Now);
   if (!chosen) {
-    DispatchResult wait = awaitSlot(State, Request, found, isEngine, Now);
-    wait.Wishes = std::move(out.Wishes);
+    DispatchResult wait = waitForSlot(State, Request, found, isEngine, Now);
+    wait.AdapterRequests = std::move(out.AdapterRequests);
     return wait;
   }
-  if (Request.NeedsRetryToken && !takeRetryFor(State, Request, Now)) {
-    if (isPast(retryPatienceEnd(Request), Now))
+  if (Request.NeedsRetryToken && !takeRetryToken(State, Request, Now)) {
+    if (isPast(retryWaitEnd(Request), Now))
       out.Decision =
-          refuse(State, RefusalReason::RetriesExhausted, LeastRetryAfter);
+          makeRefusal(State, RefusalReason::RetriesExhausted, MinRetryAfter);
     else
-      out.Decision = WaitUntil{Now + WaitPeriod};
+      out.Decision = WaitUntil{Now + RecheckPeriod};
     return out;
   }
   Request.NeedsRetryToken = false;
@@ -497,7 +523,7 @@
 
 namespace {
 
-ModelUsage &rowOf(FrontState &State, const FrontRequest &Request) {
+ModelUsage &modelUsageOf(FrontState &State, const FrontRequest &Request) {
   bool isEngine = findEngineSpec(State, Request.Service) != nullptr &&
                   !Request.Attributes.Model.empty();
   return State.ModelUsages[isEngine ? Request.Attributes.Model
@@ -506,24 +532,24 @@
 
 } // namespace
 
-void noteDispatched(FrontState &State, FrontRequest &Request,
+void recordDispatch(FrontState &State, FrontRequest &Request,
                     const std::string &Endpoint) {
-  ModelUsage &row = rowOf(State, Request);
-  noteServed(row, Request);
-  ++row.Open;
-  ++row.OpenByEndpoint[Endpoint];
+  ModelUsage &usage = modelUsageOf(State, Request);
+  removeWaiting(usage, Request);
+  ++usage.Open;
+  ++usage.OpenByEndpoint[Endpoint];
   ++Request.Sends;
   noteSent(State.Records[Endpoint]);
 }
 
-void noteExchangeOver(FrontState &State, const FrontRequest &Request,
-                      const std::string &Endpoint) {
-  ModelUsage &row = rowOf(State, Request);
-  if (row.Open > 0)
-    --row.Open;
-  auto at = row.OpenByEndpoint.find(Endpoint);
-  if (at != row.OpenByEndpoint.end() && --at->second == 0)
-    row.OpenByEndpoint.erase(at);
+void recordExchangeEnd(FrontState &State, const FrontRequest &Request,
+                       const std::string &Endpoint) {
+  ModelUsage &usage = modelUsageOf(State, Request);
+  if (usage.Open > 0)
+    --usage.Open;
+  auto at = usage.OpenByEndpoint.find(Endpoint);
+  if (at != usage.OpenByEndpoint.end() && --at->second == 0)
+    usage.OpenByEndpoint.erase(at);
   noteClosed(State.Records[Endpoint]);
 }
 
@@ -538,15 +564,15 @@
     quota.Level += Grant.granted();
     return;
   }
-  TimePoint &shut =
+  TimePoint &closedUntil =
       Grant.is_favoured() ? quota.PoolShutUntil : quota.PoolScarceUntil;
-  shut = Now + Millis(Grant.wait_ms());
+  closedUntil = Now + Millis(Grant.wait_ms());
 }
 
-void forgetRequest(FrontState &State, const FrontRequest &Request) {
+void removeWaitingRequest(FrontState &State, const FrontRequest &Request) {
   if (!Request.Organisation.empty())
     State.Quotas[Request.Organisation].Wanting.erase(Request.Number);
-  noteServed(rowOf(State, Request), Request);
+  removeWaiting(modelUsageOf(State, Request), Request);
 }
 
 namespace {
@@ -565,35 +591,35 @@
 
 } // namespace
 
-AfterFailure decideAfterFailure(FrontState &State, FrontRequest &Request,
-                                const std::string &Endpoint,
-                                ExchangeFailure Failure, bool HasAnswer,
-                                TimePoint Now) {
+RetryDecision decideRetry(FrontState &State, FrontRequest &Request,
+                          const std::string &Endpoint, ExchangeFailure Failure,
+                          bool HasAnswer, TimePoint Now) {
   EndpointRecord &record = State.Records[Endpoint];
   bool isRun =
       Failure == ExchangeFailure::Broken || Failure == ExchangeFailure::Error;
   if (Failure == ExchangeFailure::Rejected) {
-    record.PausedUntil = std::max(record.PausedUntil, Now + RejectPause);
+    record.PausedUntil = std::max(record.PausedUntil, Now + RejectionPause);
   } else {
     noteFailure(record, Failure == ExchangeFailure::Unreachable, Now);
     logPause(Endpoint, record, Now);
     Request.FailedEndpoints.insert(Endpoint);
   }
   Request.Runs += isRun;
-  returnCharge(State, Request);
-  AfterFailure out;
-  out.Refusal = refusalAfter(State, Request, Now);
-  bool mayRepeat = !isRun || Request.IsRepeatable;
+  refundQuota(State, Request);
+  RetryDecision out;
+  out.Refusal = refusalAfterFailure(State, Request, Now);
+  bool mayRetry = !isRun || Request.IsRepeatable;
   bool hasAttempts =
       Request.Runs < std::max<uint32_t>(Request.Route->MaxAttempts, 1);
-  if (!mayRepeat || !hasAttempts || Request.Sends >= MostSends ||
+  if (!mayRetry || !hasAttempts || Request.Sends >= MaxSends ||
       isPast(Request.Deadline, Now) || (State.IsStopping && HasAnswer))
     return out;
-  // A send that never reached an endpoint costs the fleet nothing.
+  // A send that did not reach an endpoint is not charged to the retry budget,
+  // as it puts no load on the fleet.
   if (Failure != ExchangeFailure::Unreachable &&
-      !takeRetryFor(State, Request, Now)) {
+      !takeRetryToken(State, Request, Now)) {
     bool mayWait = Failure == ExchangeFailure::Rejected &&
-                   !isPast(retryPatienceEnd(Request), Now);
+                   !isPast(retryWaitEnd(Request), Now);
     if (!mayWait)
       return out;
     Request.NeedsRetryToken = true;
@@ -603,8 +629,8 @@
   return out;
 }
 
-void noteAbsent(FrontState &State, const FrontRequest &Request,
-                const std::string &Endpoint) {
+void recordMissingModel(FrontState &State, const FrontRequest &Request,
+                        const std::string &Endpoint) {
   auto known = State.Directory.Endpoints.find(Endpoint);
   if (known == State.Directory.Endpoints.end())
     return;
--- a/front/dispatch.h
+++ b/front/dispatch.h
@@ -1,11 +1,14 @@
 /// \file
-/// Where a request goes next: to an endpoint, to wait, or back to its caller.
+/// Dispatch decisions: send a request to an endpoint, queue it, or refuse it.
 ///
-/// Load patterns: a burst beyond what the endpoints of a model can take (the
-/// most urgent goes first, and what cannot start in time is refused when it
-/// comes, with the time at which there is room); a cold model (its requests
-/// wait only while its load can be over in time); an organisation beyond its
-/// rate (refused before anything of it waits).
+/// Load patterns that are handled here:
+/// - A burst that exceeds the capacity of a model's endpoints. The most urgent
+///   requests go first. A request that cannot start in time is refused on
+///   arrival, with the time after which capacity is expected.
+/// - A cold start. Requests for a model that is not loaded wait only while its
+///   load can complete in time.
+/// - An organisation that exceeds its rate. Its requests are refused before
+///   they are queued.
 #ifndef SASSAFRAS_FRONT_DISPATCH_H
 #define SASSAFRAS_FRONT_DISPATCH_H
 
@@ -18,78 +21,84 @@
 
 namespace sassafras {
 
-/// Send the request there.
+/// Decision: send the request to this endpoint.
 struct SendTo {
   std::string Endpoint;
   std::string Address;
-  double Load = 0;   ///< Requests that it was believed to hold.
-  Millis LoadAge{0}; ///< Of the report on which that rests.
+  double Load = 0;   ///< Estimated number of requests at the endpoint.
+  Millis LoadAge{0}; ///< Age of the load report behind the estimate.
 };
-/// Ask again when something has changed, at the latest at Until.
+/// Decision: decide again when the state changes, at Until at the latest.
 struct WaitUntil {
   TimePoint Until;
 };
-/// Ask an engine's agent for an adapter.
-struct AskForAdapter {
-  std::string Agent; ///< Inner address.
-  wire::AdapterWish Wish;
+/// A request to an engine's agent to load an adapter.
+struct AdapterLoadRequest {
+  std::string Agent; ///< Address of its link.
+  wire::AdapterWish Message;
 };
 
 using DispatchDecision = std::variant<SendTo, WaitUntil, FrontRefusal>;
 
 struct DispatchResult {
   DispatchDecision Decision;
-  std::vector<AskForAdapter> Wishes;
-  /// An engine's agent should be asked for the model itself.
-  std::optional<AskForModel> Load;
-  /// The leader should be told of this model now.
-  std::optional<wire::RowDemand> Wish;
-  /// The leader should be asked for these tokens now.
-  std::optional<wire::QuotaWish> QuotaWish;
+  std::vector<AdapterLoadRequest> AdapterRequests;
+  /// Model load to request from an engine's agent.
+  std::optional<AskForModel> LoadRequest;
+  /// Demand to report to the leader without waiting for the next heartbeat.
+  std::optional<wire::RowDemand> DemandReport;
+  /// Quota tokens to request from the leader now.
+  std::optional<wire::QuotaWish> QuotaRequest;
 };
 
-/// Decides for a request that is not under way. Notes it as waiting or wanted
-/// as the decision says.
+/// Decides on a request that is not at an endpoint. Charges its organisation's
+/// quota, and records the request as waiting or as expected to be retried
+/// according to the decision. Not thread safe.
 DispatchResult decideDispatch(FrontState &State, FrontRequest &Request,
                               TimePoint Now);
 
-/// The request was sent / its exchange is over.
-void noteDispatched(FrontState &State, FrontRequest &Request,
+/// Records that the request was sent to \p Endpoint.
+void recordDispatch(FrontState &State, FrontRequest &Request,
                     const std::string &Endpoint);
-void noteExchangeOver(FrontState &State, const FrontRequest &Request,
-                      const std::string &Endpoint);
-/// The request has its outcome: it waits no longer.
-void forgetRequest(FrontState &State, const FrontRequest &Request);
+/// Records that the exchange with \p Endpoint has ended.
+void recordExchangeEnd(FrontState &State, const FrontRequest &Request,
+                       const std::string &Endpoint);
+/// Removes a request that has its outcome from the requests
+/// that wait for an endpoint or for quota tokens.
+void removeWaitingRequest(FrontState &State, const FrontRequest &Request);
 
 /// How an exchange with an endpoint failed.
 enum class ExchangeFailure {
-  Unreachable, ///< Never sent: no connection.
-  Rejected,    ///< The endpoint says that it did not run it.
-  Broken,      ///< Sent, and no whole answer came.
-  Error,       ///< A whole answer that tells of a failure.
+  Unreachable, ///< Not sent: no connection.
+  Rejected,    ///< The endpoint stated that it did not run the request.
+  Broken,      ///< Sent, but no complete response was received.
+  Error,       ///< A complete response that reports a failure.
 };
 
-/// What follows a failed exchange: another dispatch, or the end.
-struct AfterFailure {
+/// Whether a request is dispatched again after a failed exchange.
+struct RetryDecision {
   bool IsRetry = false;
   std::optional<RetryReason> Why;
-  FrontRefusal Refusal; ///< When there is no retry and no answer to pass on.
+  /// For a request that is not retried and has no response to forward.
+  FrontRefusal Refusal;
 };
 
-/// \p HasAnswer: the endpoint's own answer can be passed on instead.
-AfterFailure decideAfterFailure(FrontState &State, FrontRequest &Request,
-                                const std::string &Endpoint,
-                                ExchangeFailure Failure, bool HasAnswer,
-                                TimePoint Now);
+/// Decides whether to retry after a failed exchange with \p Endpoint, and
+/// records the failure. \p HasAnswer: the endpoint's own response can be
+/// forwarded instead of a refusal. Not thread safe.
+RetryDecision decideRetry(FrontState &State, FrontRequest &Request,
+                          const std::string &Endpoint, ExchangeFailure Failure,
+                          bool HasAnswer, TimePoint Now);
 
-/// Takes what the leader answered to a wish for tokens.
+/// Applies the leader's reply to a request for quota tokens. Ignores a grant of
+/// an older term.
 void applyQuotaGrant(FrontState &State, const wire::QuotaGrant &Grant,
                      TimePoint Now);
 
-/// The endpoint said that it does not hold what the request asks for: what
-/// was known of it is out of date.
-void noteAbsent(FrontState &State, const FrontRequest &Request,
-                const std::string &Endpoint);
+/// Removes the requested model, or its adapter, from what is known of
+/// \p Endpoint, which answered that it does not have it.
+void recordMissingModel(FrontState &State, const FrontRequest &Request,
+                        const std::string &Endpoint);
 
 } // namespace sassafras
 
--- a/front/relay.cpp
+++ b/front/relay.cpp
@@ -93,27 +93,27 @@
 
 void Relay::act(const DispatchResult &Result) {
   NodeMessages messages;
-  for (const AskForAdapter &it : Result.Wishes) {
+  for (const AdapterLoadRequest &it : Result.AdapterRequests) {
     wire::Envelope message;
-    *message.mutable_adapter_wish() = it.Wish;
+    *message.mutable_adapter_wish() = it.Message;
     messages.push_back({it.Agent, std::move(message)});
   }
-  if (Result.Load) {
+  if (Result.LoadRequest) {
     logEvent(LogLevel::Info, "load_asked",
              {{"id", Request.Attributes.Id},
-              {"model", Result.Load->Order.load()},
-              {"engine", Result.Load->Order.engine_address()},
+              {"model", Result.LoadRequest->Order.load()},
+              {"engine", Result.LoadRequest->Order.engine_address()},
               {"leader", Core.State.Leader.Node}});
     wire::Envelope message;
-    *message.mutable_engine_order() = Result.Load->Order;
-    messages.push_back({Result.Load->Agent, std::move(message)});
+    *message.mutable_engine_order() = Result.LoadRequest->Order;
+    messages.push_back({Result.LoadRequest->Agent, std::move(message)});
   }
   if (!messages.empty())
     Core.Send(std::move(messages));
-  if (Result.Wish)
-    Core.ReportDemand(*Result.Wish);
-  if (Result.QuotaWish)
-    Core.RequestTokens(*Result.QuotaWish);
+  if (Result.DemandReport)
+    Core.ReportDemand(*Result.DemandReport);
+  if (Result.QuotaRequest)
+    Core.RequestTokens(*Result.QuotaRequest);
   if (auto *target = std::get_if<SendTo>(&Result.Decision)) {
     setWaiting(false);
     send(*target);
@@ -134,7 +134,7 @@
   IsNotRun = false;
   IsStream = false;
   Body.clear();
-  noteDispatched(Core.State, Request, Endpoint);
+  recordDispatch(Core.State, Request, Endpoint);
   if (Request.Sends == 1)
     observe("queue_seconds", now - Request.ArrivedAt);
   Millis left = std::chrono::duration_cast<Millis>(Request.Deadline - now);
@@ -239,7 +239,7 @@
     return;
   TimePoint now = Clock::now();
   Call.reset();
-  noteExchangeOver(Core.State, Request, Endpoint);
+  recordExchangeEnd(Core.State, Request, Endpoint);
   if (IsStream) {
     noteSuccess(Core.State.Records[Endpoint]);
     Exchange->write(std::move(EventBuffer.Incomplete));
@@ -254,7 +254,7 @@
   }
   if (IsNotRun) {
     if (Head.Status == StatusMisdirected)
-      noteAbsent(Core.State, Request, Endpoint);
+      recordMissingModel(Core.State, Request, Endpoint);
     failExchange(ExchangeFailure::Rejected);
     return;
   }
@@ -292,7 +292,7 @@
   if (IsOver)
     return;
   Call.reset();
-  noteExchangeOver(Core.State, Request, Endpoint);
+  recordExchangeEnd(Core.State, Request, Endpoint);
   if (IsNotRun)
     failExchange(ExchangeFailure::Rejected);
   else
@@ -305,7 +305,7 @@
   if (Call)
     Call->cancel();
   Call.reset();
-  noteExchangeOver(Core.State, Request, Endpoint);
+  recordExchangeEnd(Core.State, Request, Endpoint);
   failExchange(Failure);
 }
 
@@ -315,8 +315,8 @@
   if (EventBuffer.LastId)
     Request.LastEvent = EventBuffer.LastId;
   bool hasAnswer = Failure == ExchangeFailure::Error && !IsAnswering;
-  AfterFailure after = decideAfterFailure(Core.State, Request, Endpoint,
-                                          Failure, hasAnswer, Clock::now());
+  RetryDecision after = decideRetry(Core.State, Request, Endpoint, Failure,
+                                    hasAnswer, Clock::now());
   // A stream whose answer has begun goes on only where it can be resumed.
   bool mayGoOn =
       !IsAnswering || (Request.Route->Kind == RequestKind::Streaming &&
@@ -349,7 +349,7 @@
   if (Call)
     Call->cancel();
   if (Call)
-    noteExchangeOver(Core.State, Request, Endpoint);
+    recordExchangeEnd(Core.State, Request, Endpoint);
   Call.reset();
   if (IsAnswering) {
     abandon(std::string(nameOf(Refusal.Reason)).c_str());
@@ -376,7 +376,7 @@
   if (Call) {
     Call->cancel();
     Call.reset();
-    noteExchangeOver(Core.State, Request, Endpoint);
+    recordExchangeEnd(Core.State, Request, Endpoint);
   }
   Core.Counts.count("answers_broken_total");
   Exchange->abort();
@@ -398,7 +398,7 @@
   if (Call) {
     Call->cancel();
     Call.reset();
-    noteExchangeOver(Core.State, Request, Endpoint);
+    recordExchangeEnd(Core.State, Request, Endpoint);
   }
   bool isGone = Loss == HttpLoss::CallerGone;
   Core.Counts.count(isGone ? "callers_gone_total" : "slow_readers_total");
@@ -411,7 +411,7 @@
   IsOver = true;
   Timer.cancel();
   setWaiting(false);
-  forgetRequest(Core.State, Request);
+  removeWaitingRequest(Core.State, Request);
   TimePoint now = Clock::now();
   logEvent(
       LogLevel::Info, "request_done",
--- a/tests/front/test_dispatch.cpp
+++ b/tests/front/test_dispatch.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Decisions of a front on one request: taken or refused, where it goes, and
-/// what follows a failure. Whether it may have run is the point throughout.
+/// Decisions of a front on one request: admission, dispatch, and retries after
+/// a failure. All of them depend on whether the request may have run.
 #include "front/dispatch.h"
 #include "front/sse_buffer.h"
 
@@ -108,8 +108,8 @@
 
 } // namespace
 
-// The leader was too busy to answer in time: its callers were held until their
-// deadlines in place of being told when to come back.
+// A leader that is overloaded may not answer a token request in time. Callers
+// were then held until their deadlines and got no Retry-After time.
 TEST_CASE("request that was granted no tokens in time is refused, not held") {
   FrontState state = makeState();
   auto table = std::make_shared<ServingTable>(*state.Table);
@@ -122,15 +122,15 @@
   state.PoolHeardAt = Start;
   auto first = decideDispatch(state, request, Start);
   CHECK(std::holds_alternative<WaitUntil>(first.Decision));
-  CHECK(first.QuotaWish);
+  CHECK(first.QuotaRequest);
   state.Quotas["first"].AskedAt = TimePoint();
   auto last = decideDispatch(state, request, Start + Millis(210));
   REQUIRE(refusalOf(last));
   CHECK(refusalOf(last)->Reason == RefusalReason::RateExceeded);
 }
 
-// Only the leader hears which engines have weights near: a front that has not
-// been told yet took every cold model for one that comes from the store.
+// Only the leader knows which engines have the weights in memory or on disk. A
+// front without a forecast assumed for each cold model a load from the store.
 TEST_CASE("cold request waits for the leader's forecast before it is refused") {
   FrontState state = makeState();
   addEndpoint(state, "i-1", "chat", "10.0.0.1:7", {"other"});
@@ -139,21 +139,21 @@
   FrontRequest request = admit(state, "/stream/x");
   DispatchResult first = decideDispatch(state, request, Start);
   CHECK(std::holds_alternative<WaitUntil>(first.Decision));
-  CHECK(first.Wish);
-  SECTION("the leader knows of near weights") {
+  CHECK(first.DemandReport);
+  SECTION("the forecast is short: weights are on an engine") {
     state.ModelUsages["m"].ForecastAt = Start + Millis(150);
     state.ModelUsages["m"].ReadyAt = Start + Millis(1'200);
     auto next = decideDispatch(state, request, Start + Millis(200));
     CHECK(std::holds_alternative<WaitUntil>(next.Decision));
   }
-  SECTION("the leader knows of none") {
+  SECTION("the forecast is long: weights are only in the store") {
     state.ModelUsages["m"].ForecastAt = Start + Millis(150);
     state.ModelUsages["m"].ReadyAt = Start + Millis(6'200);
     auto next = decideDispatch(state, request, Start + Millis(200));
     REQUIRE(refusalOf(next));
     CHECK(refusalOf(next)->Reason == RefusalReason::DeadlineUnreachable);
   }
-  SECTION("the leader says nothing") {
+  SECTION("the leader sends no forecast") {
     auto next = decideDispatch(state, request, Start + Millis(600));
     REQUIRE(refusalOf(next));
     CHECK(refusalOf(next)->Reason == RefusalReason::DeadlineUnreachable);
@@ -169,7 +169,7 @@
 
 namespace {
 
-/// An agent tells of its engine, with "m" on its disk.
+/// Applies an agent's report on its engine, which has "m" on disk.
 void report(FrontState &State, const std::string &Address, bool IsBusy,
             const std::vector<std::string> &Models, TimePoint Now) {
   static uint64_t number = 0;
@@ -188,63 +188,65 @@
 
 } // namespace
 
-// Everything had lost power: callers were back a second before a leader planned
-// the first load, and engines with free memory stood idle meanwhile.
-TEST_CASE("front asks for a cold model itself while nobody leads") {
+// After a power loss of the whole fleet, callers returned a second before a
+// leader planned the first load, while engines with free memory stayed idle.
+TEST_CASE("front requests a load of a cold model while there is no leader") {
   FrontState state = makeState();
   state.EndpointDiscoveryEnd = Start + Millis(1'800);
   FrontRequest request = admit(state, "/stream/x");
-  CHECK_FALSE(decideDispatch(state, request, Start).Load);
+  CHECK_FALSE(decideDispatch(state, request, Start).LoadRequest);
   for (const char *it : {"10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7"})
     report(state, it, false, {}, Start);
-  auto load = decideDispatch(state, request, Start).Load;
+  auto load = decideDispatch(state, request, Start).LoadRequest;
   REQUIRE(load);
   CHECK(load->Order.load() == "m");
   CHECK(load->Order.number() == 0);
   CHECK(load->Agent == "agent of " + load->Order.engine_address());
-  // Another front with the same view asks the same engine.
+  // Another front with the same view chooses the same engine.
   FrontState other = makeState();
   for (const char *it : {"10.0.0.3:7", "10.0.0.2:7", "10.0.0.1:7"})
     report(other, it, false, {}, Start);
   other.EndpointDiscoveryEnd = state.EndpointDiscoveryEnd;
   FrontRequest same = admit(other, "/stream/x");
-  CHECK(decideDispatch(other, same, Start).Load->Order.engine_address() ==
-        load->Order.engine_address());
-  // Not again at once; and if the engine has begun something else, another one.
-  CHECK_FALSE(decideDispatch(state, request, Start + Millis(50)).Load);
+  CHECK(
+      decideDispatch(other, same, Start).LoadRequest->Order.engine_address() ==
+      load->Order.engine_address());
+  // It does not repeat the request immediately, and chooses another engine if
+  // the first became busy with something else.
+  CHECK_FALSE(decideDispatch(state, request, Start + Millis(50)).LoadRequest);
   report(state, load->Order.engine_address(), true, {}, Start + Millis(100));
-  auto next = decideDispatch(state, request, Start + Millis(300)).Load;
+  auto next = decideDispatch(state, request, Start + Millis(300)).LoadRequest;
   REQUIRE(next);
   CHECK(next->Order.engine_address() != load->Order.engine_address());
 }
 
-TEST_CASE("front asks for no load where a leader plans or nothing is free") {
+TEST_CASE("front requests no load while a leader plans or no engine is free") {
   FrontState state = makeState();
   addEndpoint(state, "e1", "chat", "10.0.0.1:7", {}, {"m"});
   report(state, "10.0.0.1:7", false, {}, Start);
   state.Leader.HeardAt = Start;
   FrontRequest request = admit(state, "/stream/x");
-  CHECK_FALSE(decideDispatch(state, request, Start).Load);
-  // The leader fell silent: no forecast came in time.
-  CHECK(decideDispatch(state, request, Start + Millis(600)).Load);
+  CHECK_FALSE(decideDispatch(state, request, Start).LoadRequest);
+  // No forecast arrived in time: the leader does not respond.
+  CHECK(decideDispatch(state, request, Start + Millis(600)).LoadRequest);
   state.ModelUsages["m"].NextAgentRequest = TimePoint();
   state.ModelUsages["m"].ForecastAt = Start + Millis(500);
   state.ModelUsages["m"].ReadyAt = Start + Millis(900);
-  CHECK_FALSE(decideDispatch(state, request, Start + Millis(600)).Load);
+  CHECK_FALSE(decideDispatch(state, request, Start + Millis(600)).LoadRequest);
   state.Leader.HeardAt = TimePoint();
-  // A leader does not hear itself.
+  // A leading front receives no heartbeat from itself.
   state.IsLeading = true;
-  CHECK_FALSE(decideDispatch(state, request, Start).Load);
+  CHECK_FALSE(decideDispatch(state, request, Start).LoadRequest);
   state.IsLeading = false;
-  CHECK(decideDispatch(state, request, Start).Load);
+  CHECK(decideDispatch(state, request, Start).LoadRequest);
   state.ModelUsages["m"].NextAgentRequest = TimePoint();
   report(state, "10.0.0.1:7", true, {}, Start);
-  CHECK_FALSE(decideDispatch(state, request, Start).Load);
+  CHECK_FALSE(decideDispatch(state, request, Start).LoadRequest);
   report(state, "10.0.0.1:7", false, {"of unknown size"}, Start);
-  CHECK_FALSE(decideDispatch(state, request, Start).Load);
+  CHECK_FALSE(decideDispatch(state, request, Start).LoadRequest);
 }
 
-TEST_CASE("request is refused at the door for each cause") {
+TEST_CASE("admission refuses a request for each cause") {
   struct Case {
     const char *What;
     RequestAttributes Attributes;
@@ -270,8 +272,8 @@
     REQUIRE(refusal);
     CHECK(refusal->Reason == it.Reason);
   }
-  FrontState blank;
-  auto out = admitRequest(blank, facts("/safe/x"), Start);
+  FrontState withoutTable;
+  auto out = admitRequest(withoutTable, facts("/safe/x"), Start);
   REQUIRE(std::get_if<FrontRefusal>(&out));
   CHECK(statusOf(std::get_if<FrontRefusal>(&out)->Reason) == 503);
 }
@@ -294,51 +296,53 @@
 TEST_CASE("cold model is waited for only while its load can be over in time") {
   FrontState state = makeState();
   addEndpoint(state, "e1", "chat", "10.0.0.1:80", {}, {"m"});
-  FrontRequest near = admit(state, "/stream/x");
-  auto waits = decideDispatch(state, near, Start);
+  FrontRequest onDisk = admit(state, "/stream/x");
+  auto waits = decideDispatch(state, onDisk, Start);
   CHECK(std::get_if<WaitUntil>(&waits.Decision));
-  CHECK(waits.Wish);
-  // Only the store has it: six seconds are beyond the caller's patience. That
-  // is certain once the leader has had time to tell of weights that are near.
+  CHECK(waits.DemandReport);
+  // The model is only in the store, and a load of six seconds exceeds the
+  // caller's first-byte deadline. This is certain once the leader has had time
+  // to send a forecast for weights in memory or on disk.
   FrontState cold = makeState();
   cold.Leader.HeardAt = Start;
   addEndpoint(cold, "e1", "chat", "10.0.0.1:80", {});
-  FrontRequest far = admit(cold, "/stream/x");
-  TimePoint told = Start + Millis(500);
-  auto refused = decideDispatch(cold, far, told);
+  FrontRequest inStore = admit(cold, "/stream/x");
+  TimePoint forecastDue = Start + Millis(500);
+  auto refused = decideDispatch(cold, inStore, forecastDue);
   REQUIRE(refusalOf(refused));
   CHECK(refusalOf(refused)->Reason == RefusalReason::DeadlineUnreachable);
   CHECK(refusalOf(refused)->RetryAfter >= Millis(5'800));
-  // It is loaded all the same for when the caller comes back.
-  CHECK(refused.Wish);
-  // A caller whose time ends before even near weights could be loaded.
-  FrontRequest hasty = admit(cold, "/stream/x");
-  hasty.FirstByteDeadline = Start + Millis(900);
-  CHECK(refusalOf(decideDispatch(cold, hasty, Start)));
+  // The demand is reported all the same, for the caller's retry.
+  CHECK(refused.DemandReport);
+  // The caller's time ends before even a load from disk could complete.
+  FrontRequest shortDeadline = admit(cold, "/stream/x");
+  shortDeadline.FirstByteDeadline = Start + Millis(900);
+  CHECK(refusalOf(decideDispatch(cold, shortDeadline, Start)));
 }
 
-// Callers with 8 s of patience waited for loads of 7.95 s, which began 0.3 s
-// later than forecast, and were refused after 7.4 s. Those that were refused at
-// once came back after 6.7 s; their model was wanted for 3 s only, and was not
-// loaded meanwhile: 30 of 34 callers of one model were refused all day.
+// Callers with a first-byte deadline of 8 s waited for loads of 7.95 s that
+// began 0.3 s later than forecast, and were refused after 7.4 s. Others were
+// refused on arrival and retried after 6.7 s, but demand for their model was
+// kept for only 3 s, so that it was not loaded: 30 of 34 callers of one model
+// were refused over a whole day.
 TEST_CASE(
-    "caller who would hardly wait long enough is told when to come back") {
+    "caller that would barely wait long enough is refused with a retry time") {
   FrontState state = makeState();
   addEndpoint(state, "e1", "chat", "10.0.0.1:80", {"other"});
   state.Leader.HeardAt = Start;
   FrontRequest request = admit(state, "/stream/x");
   TimePoint now = Start + Millis(50);
-  auto patience =
+  auto timeLeft =
       std::chrono::duration_cast<Millis>(request.FirstByteDeadline - now);
   ModelUsage &row = state.ModelUsages["m"];
   row.ForecastAt = now;
-  row.ReadyAt = now + patience * 3 / 4;
+  row.ReadyAt = now + timeLeft * 3 / 4;
   CHECK(std::holds_alternative<WaitUntil>(
       decideDispatch(state, request, now).Decision));
-  row.ReadyAt = now + patience - Millis(50);
+  row.ReadyAt = now + timeLeft - Millis(50);
   const DispatchResult refused = decideDispatch(state, request, now);
   REQUIRE(refusalOf(refused) != nullptr);
-  CHECK(refusalOf(refused)->RetryAfter >= patience - Millis(50));
+  CHECK(refusalOf(refused)->RetryAfter >= timeLeft - Millis(50));
   CHECK(row.RetryExpectedUntil - now >= state.Limits.MinDemandRetention);
   row.ReadyAt = now + Millis(7'000);
   REQUIRE(refusalOf(decideDispatch(state, request, now)) != nullptr);
@@ -348,17 +352,17 @@
   CHECK(row.RetryExpectedUntil - now == state.Limits.MaxDemandRetention);
 }
 
-// Several models lay on the disk of one engine only. Those that were worth a
-// little more were loaded over and over, and callers of the others were refused
+// Several models were on the disk of only one engine. Those with slightly more
+// worth were loaded again and again, and callers of the others were refused
 // after 7.4 s.
-TEST_CASE("model whose callers have waited long is worth more to them") {
+TEST_CASE("worth of a model grows with the waiting time of its callers") {
   FrontState state = makeState();
   addEndpoint(state, "e1", "chat", "10.0.0.1:80", {}, {"m"});
   state.Leader.HeardAt = Start;
   FrontRequest request = admit(state, "/stream/x");
   request.FirstByteDeadline = Start + Millis(20'000);
   request.Deadline = request.FirstByteDeadline;
-  auto told = [&](Millis After) {
+  auto reportedWorth = [&](Millis After) {
     TimePoint now = Start + After;
     ModelUsage &row = state.ModelUsages["m"];
     row.ForecastAt = now;
@@ -366,18 +370,18 @@
     row.NextDemandReport = TimePoint();
     state.Directory.Endpoints["e1"].HeardAt = now;
     state.Leader.HeardAt = now;
-    auto wish = decideDispatch(state, request, now).Wish;
-    REQUIRE(wish);
-    return wish->waiting_worth();
+    auto report = decideDispatch(state, request, now).DemandReport;
+    REQUIRE(report);
+    return report->waiting_worth();
   };
-  double first = told(Millis(0));
+  double first = reportedWorth(Millis(0));
   CHECK(first == Approx(request.Worth));
-  CHECK(told(Millis(2'500)) == Approx(2 * first));
-  CHECK(told(Millis(5'000)) > told(Millis(4'000)));
-  CHECK(told(Millis(15'000)) == Approx(4 * first));
-  // Who comes next does not inherit it.
-  forgetRequest(state, request);
-  CHECK(told(Millis(15'100)) == Approx(first));
+  CHECK(reportedWorth(Millis(2'500)) == Approx(2 * first));
+  CHECK(reportedWorth(Millis(5'000)) > reportedWorth(Millis(4'000)));
+  CHECK(reportedWorth(Millis(15'000)) == Approx(4 * first));
+  // The next caller starts without the increase.
+  removeWaitingRequest(state, request);
+  CHECK(reportedWorth(Millis(15'100)) == Approx(first));
 }
 
 TEST_CASE("leader's forecast decides on waiting while it is fresh") {
@@ -393,8 +397,8 @@
   CHECK(std::get_if<WaitUntil>(&result.Decision));
 }
 
-// A burst beyond what the engines can take: those that can still start in
-// time wait, the rest is refused when it comes, not when its time is over.
+// In a burst that exceeds the engines' capacity, requests that can still start
+// in time wait. The others are refused on arrival, not at their deadlines.
 TEST_CASE("burst is refused at once where it cannot be served in time") {
   FrontState state = makeState();
   addEndpoint(state, "e1", "chat", "10.0.0.1:80", {"m"});
@@ -405,7 +409,7 @@
     FrontRequest request = admit(state, "/stream/x");
     auto result = decideDispatch(state, request, Start);
     if (auto *target = std::get_if<SendTo>(&result.Decision)) {
-      noteDispatched(state, request, target->Endpoint);
+      recordDispatch(state, request, target->Endpoint);
       ++sent;
     } else if (refusalOf(result)) {
       CHECK(statusOf(refusalOf(result)->Reason) == 503);
@@ -436,10 +440,10 @@
   FrontRequest stream = admit(state, "/stream/x");
   auto first = decideDispatch(state, stream, Start);
   CHECK(std::holds_alternative<WaitUntil>(first.Decision));
-  // They were to be heard by then: there are none.
+  // All endpoints would have announced themselves by then: there are none.
   auto later = decideDispatch(state, stream, Start + Millis(1'800));
   CHECK(std::holds_alternative<FrontRefusal>(later.Decision));
-  // One that would be too late by then is refused at once.
+  // A request whose deadline is earlier than that is refused at once.
   state.EndpointDiscoveryEnd = Start + Millis(20'000);
   FrontRequest other = admit(state, "/stream/x");
   CHECK(std::holds_alternative<FrontRefusal>(
@@ -452,7 +456,7 @@
     ExchangeFailure Failure;
     bool HasAnswer;
     bool IsRetry;
-    unsigned Status; ///< Of the refusal, without a retry.
+    unsigned Status; ///< Of the refusal if there is no retry.
   };
   const Case cases[] = {
       {"/once/x", ExchangeFailure::Unreachable, false, true, 503},
@@ -471,29 +475,30 @@
     addEndpoint(state, "e1", "chat", "10.0.0.1:80", {"m"});
     FrontRequest request = admit(state, it.Path);
     const char *endpoint = request.Service == "desk" ? "d1" : "e1";
-    noteDispatched(state, request, endpoint);
-    AfterFailure after = decideAfterFailure(state, request, endpoint,
-                                            it.Failure, it.HasAnswer, Start);
+    recordDispatch(state, request, endpoint);
+    RetryDecision after =
+        decideRetry(state, request, endpoint, it.Failure, it.HasAnswer, Start);
     CHECK(after.IsRetry == it.IsRetry);
-    // Only what has surely not run may be told so.
+    // Only a request that certainly did not run may be reported as not run.
     bool saysNotRun = statusOf(after.Refusal.Reason) == 503;
     CHECK(saysNotRun == (request.Runs == 0));
     CHECK(statusOf(after.Refusal.Reason) == it.Status);
   }
 }
 
-// Engines shed requests for some seconds. Each front has a small part of the
-// budget; once it was used up, callers that would have waited 12 s were refused
-// 20 ms after they had come, most of them for good.
-TEST_CASE("rejected request waits for the retry budget within its patience") {
+// Engines rejected requests for some seconds. Each front has a small part of
+// the retry budget. Once that was used up, callers that would have waited 12 s
+// were refused 20 ms after their arrival, which was final for most of them.
+TEST_CASE(
+    "rejected request waits for retry budget until its first-byte deadline") {
   FrontState state = makeState();
   addEndpoint(state, "e1", "chat", "10.0.0.1:80", {"m"});
   state.Limits.Retries = {0.2, 0};
   FrontRequest request = admit(state, "/stream/x");
-  noteDispatched(state, request, "e1");
-  noteExchangeOver(state, request, "e1");
-  AfterFailure after = decideAfterFailure(
-      state, request, "e1", ExchangeFailure::Rejected, false, Start);
+  recordDispatch(state, request, "e1");
+  recordExchangeEnd(state, request, "e1");
+  RetryDecision after = decideRetry(state, request, "e1",
+                                    ExchangeFailure::Rejected, false, Start);
   CHECK(after.IsRetry);
   TimePoint now = Start + Millis(100);
   auto waits = [&] {
@@ -501,14 +506,15 @@
         decideDispatch(state, request, now).Decision);
   };
   CHECK(waits());
-  // Arrivals fill the budget up.
+  // Arriving requests refill the budget.
   state.Limits.Retries.Slack = 10;
   for (int i = 0; i < 8; ++i)
     noteRequest(state.Retries["chat"], state.Limits.Retries, 1);
   CHECK(std::holds_alternative<SendTo>(
       decideDispatch(state, request, now).Decision));
   CHECK_FALSE(request.NeedsRetryToken);
-  // Not for ever, and not beyond what a plain service's caller aims at.
+  // The wait ends at the first-byte deadline, and for a plain service at its
+  // latency objective.
   state.Limits.Retries = {0, 0};
   state.Retries.clear();
   request.NeedsRetryToken = true;
@@ -516,9 +522,9 @@
   CHECK(refusalOf(decideDispatch(state, request, now)) != nullptr);
   addEndpoint(state, "d1", "desk", "10.0.0.3:80", {});
   FrontRequest plain = admit(state, "/safe/x");
-  noteDispatched(state, plain, "d1");
-  after = decideAfterFailure(state, plain, "d1", ExchangeFailure::Rejected,
-                             false, plain.ObjectiveDeadline + Millis(1));
+  recordDispatch(state, plain, "d1");
+  after = decideRetry(state, plain, "d1", ExchangeFailure::Rejected, false,
+                      plain.ObjectiveDeadline + Millis(1));
   CHECK_FALSE(after.IsRetry);
   CHECK(after.Refusal.Reason == RefusalReason::RetriesExhausted);
 }
@@ -535,9 +541,9 @@
     auto *target = std::get_if<SendTo>(&result.Decision);
     REQUIRE(target);
     CHECK(reached.insert(target->Endpoint).second);
-    noteDispatched(state, request, target->Endpoint);
-    if (!decideAfterFailure(state, request, target->Endpoint,
-                            ExchangeFailure::Broken, false, Start)
+    recordDispatch(state, request, target->Endpoint);
+    if (!decideRetry(state, request, target->Endpoint, ExchangeFailure::Broken,
+                     false, Start)
              .IsRetry)
       break;
   }
