--- a/front/fleet_view.cpp
+++ b/front/fleet_view.cpp
@@ -77,8 +77,8 @@
     demand.set_organisation(name);
     demand.set_tokens_per_s(static_cast<uint64_t>(it.DemandRate));
   }
-  for (auto &[name, it] : State.Rows) {
-    bool isWanted = !isPast(it.WantedUntil, Now);
+  for (auto &[name, it] : State.ModelUsages) {
+    bool isWanted = !isPast(it.RetryExpectedUntil, Now);
     if (it.Arrivals == 0 && it.Open == 0 && it.Waiting.empty() && !isWanted)
       continue;
     wire::RowDemand &demand = *Heartbeat.add_rows();
@@ -89,7 +89,7 @@
         std::max<size_t>(it.Waiting.size(), isWanted ? 1 : 0)));
     demand.set_waiting_worth(agedWaitingWorth(it, Now));
     demand.set_busy(it.Open + static_cast<uint32_t>(it.Waiting.size()));
-    printOpen(it, demand);
+    addOpenRequests(it, demand);
     it.Arrivals = 0;
     it.Worth = 0;
   }
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -80,8 +80,8 @@
                      const std::shared_ptr<HttpExchange> &Exchange,
                      TimePoint ArrivedAt);
   void handleHeldRequests(TimePoint Now);
-  void refuseRequest(const RequestFacts &Facts, const FrontRefusal &Refusal,
-                     HttpExchange &Exchange);
+  void refuseRequest(const RequestAttributes &Attributes,
+                     const FrontRefusal &Refusal, HttpExchange &Exchange);
   void handleLoss(const HttpExchange *Exchange, HttpLoss Loss);
   void handleMessage(wire::Envelope Message);
   void handleHello(const wire::Envelope &Message);
@@ -152,8 +152,8 @@
   if (!Peers->start(Problem))
     return false;
   FrontState &state = Core.State;
-  state.EndpointsKnownAt = StartedAt + MaxAnnouncementInterval;
-  HeldRequests.HoldEnd = StartedAt + TableLearnSpan;
+  state.EndpointDiscoveryEnd = StartedAt + MaxAnnouncementInterval;
+  HeldRequests.HoldEnd = StartedAt + TableLearnTimeout;
   state.Self.set_name(Options.Node);
   state.Self.set_address(Peers->address());
   state.Self.set_incarnation(incarnation);
@@ -244,7 +244,7 @@
                          const std::shared_ptr<HttpExchange> &Exchange) {
   TimePoint now = Clock::now();
   EarlyRequest request{std::move(Request), Exchange, now};
-  if (!Core.State.Table && holdEarly(HeldRequests, request, now)) {
+  if (!Core.State.Table && holdEarlyRequest(HeldRequests, request, now)) {
     Counts.count("requests_held_early_total");
     return;
   }
@@ -254,7 +254,8 @@
 /// Handles the requests that were held until the table is known, once it is
 /// known or the time limit for holding them has passed.
 void FrontShell::handleHeldRequests(TimePoint Now) {
-  auto early = releaseEarly(HeldRequests, Core.State.Table != nullptr, Now);
+  auto early =
+      releaseEarlyRequests(HeldRequests, Core.State.Table != nullptr, Now);
   if (!early.empty())
     logEvent(LogLevel::Info, "early_requests_taken",
              {{"count", std::to_string(early.size())},
@@ -270,7 +271,7 @@
                                TimePoint ArrivedAt) {
   TimePoint now = Clock::now();
   platform::CallerFields fields = platform::takeCallerFields(Request);
-  RequestFacts facts;
+  RequestAttributes facts;
   facts.Id = fields.RequestId;
   facts.Method = Request.Method;
   facts.Host = fields.Host;
@@ -291,8 +292,8 @@
   }
   auto &request = std::get<FrontRequest>(admitted);
   request.Number = Core.NextNumber++;
-  if (!request.Facts.Model.empty()) {
-    RowUse &row = Core.State.Rows[request.Facts.Model];
+  if (!request.Attributes.Model.empty()) {
+    ModelUsage &row = Core.State.ModelUsages[request.Attributes.Model];
     ++row.Arrivals;
     row.Worth += request.Worth;
   }
@@ -306,20 +307,20 @@
       ->start();
 }
 
-void FrontShell::refuseRequest(const RequestFacts &Facts,
+void FrontShell::refuseRequest(const RequestAttributes &Attributes,
                                const FrontRefusal &Refusal,
                                HttpExchange &Exchange) {
   std::string reason(nameOf(Refusal.Reason));
   Counts.count("refusals_total", "reason=\"" + reason + "\"");
   uint64_t version = Core.State.Table ? Core.State.Table->Version : 0;
   logEvent(LogLevel::Info, "request_refused",
-           {{"id", Facts.Id},
+           {{"id", Attributes.Id},
             {"reason", reason},
-            {"host", Facts.Host},
-            {"path", Facts.Path},
+            {"host", Attributes.Host},
+            {"path", Attributes.Path},
             {"table", std::to_string(version)}});
   std::vector<HttpField> fields{{"content-type", "application/json"},
-                                platform::printRequestId(Facts.Id)};
+                                platform::printRequestId(Attributes.Id)};
   if (Refusal.RetryAfter)
     fields.push_back(platform::printRetryAfter(*Refusal.RetryAfter));
   Exchange.respond(statusOf(Refusal.Reason), std::move(fields),
@@ -329,7 +330,7 @@
 }
 
 void FrontShell::handleLoss(const HttpExchange *Exchange, HttpLoss Loss) {
-  if (dropEarly(HeldRequests, Exchange))
+  if (dropEarlyRequest(HeldRequests, Exchange))
     return;
   auto number = Core.ByExchange.find(Exchange);
   if (number == Core.ByExchange.end())
@@ -338,7 +339,7 @@
   if (relay == Core.Relays.end())
     return;
   std::shared_ptr<Relay> keepAlive = relay->second;
-  keepAlive->loseCaller(Loss);
+  keepAlive->handleCallerLoss(Loss);
   IsDispatchDue = true;
 }
 
@@ -393,7 +394,7 @@
     }
     break;
   case wire::Envelope::kQuotaGrant:
-    takeQuotaGrant(state, Message.quota_grant(), now);
+    applyQuotaGrant(state, Message.quota_grant(), now);
     dispatchWaitingForTokens(Message.quota_grant().organisation());
     break;
   case wire::Envelope::kBlankHello:
@@ -536,7 +537,7 @@
   }
   TimePoint now = Clock::now();
   if (auto grant = grantQuota(Leader, Core.State, QuotaRequest, now))
-    takeQuotaGrant(Core.State, *grant, now);
+    applyQuotaGrant(Core.State, *grant, now);
   IsDispatchDue = true;
 }
 
@@ -575,7 +576,7 @@
     logNodeChanges(now);
     expireNodes(Core.State.Roster, now);
     expireEndpoints(Core.State.Directory, now);
-    std::erase_if(Core.State.AdapterWishes,
+    std::erase_if(Core.State.NextAdapterRequests,
                   [&](const auto &it) { return isPast(it.second, now); });
   }
   if (isPast(NextStatistics, now))
--- a/front/leader_work.cpp
+++ b/front/leader_work.cpp
@@ -171,12 +171,12 @@
                      TimePoint Now) {
   if (Now - Leader.LeaderSince >= WeightsLearnTimeout)
     return true;
-  if (!isPast(State.EndpointsKnownAt, Now))
+  if (!isPast(State.EndpointDiscoveryEnd, Now))
     return false;
   const auto &endpoints = State.Directory.Endpoints;
   return std::all_of(endpoints.begin(), endpoints.end(), [&](const auto &it) {
     const KnownEndpoint &known = it.second;
-    if (!isUsable(known, Now) || !engineSpecOf(State, known.Service))
+    if (!isUsable(known, Now) || !findEngineSpec(State, known.Service))
       return true;
     const EngineState *engine = engineOf(State.Directory, known);
     return engine && engine->KnowsWeights;
@@ -307,7 +307,7 @@
   wireOrder.set_may_use_store(Load.IsFromStore);
   for (const std::string &it : Load.Evict)
     wireOrder.add_evict(it);
-  *wireOrder.mutable_sizes() = sizesFor(Spec);
+  *wireOrder.mutable_sizes() = makeEngineSizes(Spec);
   wireOrder.set_expires_in_ms(static_cast<uint64_t>(lifetime.count()));
   std::string evicted;
   for (const std::string &it : Load.Evict)
@@ -460,7 +460,7 @@
   bool isOverRate =
       totalDemandOf(Leader.Demand, found->Name, Now) > found->RatePerSecond;
   PoolAnswer answer =
-      drawFromPool(Leader.Pools[found->Name], limitOf(State, *found, Now),
+      drawFromPool(Leader.Pools[found->Name], quotaLimitOf(State, *found, Now),
                    {Request.wanted(), Request.least(), Request.is_favoured()},
                    isOverRate, Leader.LeaderSince, Now);
   wire::QuotaGrant out;
@@ -618,7 +618,7 @@
   if (Forecast.term() < State.Leader.Term)
     return;
   for (const wire::ModelForecast &it : Forecast.models()) {
-    RowUse &row = State.Rows[it.model()];
+    ModelUsage &row = State.ModelUsages[it.model()];
     row.ReadyAt = Now + Millis(it.ready_in_ms());
     row.ForecastAt = Now;
   }
--- a/front/leaderless_wish.cpp
+++ b/front/leaderless_wish.cpp
@@ -18,13 +18,13 @@
 /// True when no leader plans for \p Request: none is known, or the known one
 /// has not sent a current forecast for its model in time.
 bool isLeaderless(const FrontState &State, const FrontRequest &Request,
-                  const RowUse &Row, TimePoint Now) {
+                  const ModelUsage &Row, TimePoint Now) {
   if (State.IsLeading)
     return false;
   if (!hasLeader(State, Now))
     return true;
-  return Now - Request.ArrivedAt > ForecastWait &&
-         Now - Row.ForecastAt > ForecastLife;
+  return Now - Request.ArrivedAt > ForecastTimeout &&
+         Now - Row.ForecastAt > ForecastLifetime;
 }
 
 /// Free memory of an engine in MB, with loaded adapters counted as used; 0 when
@@ -45,10 +45,11 @@
 std::optional<ModelLoadRequest>
 requestLoadWithoutLeader(FrontState &State, const FrontRequest &Request,
                          TimePoint Now) {
-  const EngineSpec *spec = engineSpecOf(State, Request.Service);
-  const std::string &name = Request.Facts.Model;
-  RowUse &row = State.Rows[name];
-  if (!spec || !spec->Models.contains(name) || !isPast(row.NextAsk, Now) ||
+  const EngineSpec *spec = findEngineSpec(State, Request.Service);
+  const std::string &name = Request.Attributes.Model;
+  ModelUsage &row = State.ModelUsages[name];
+  if (!spec || !spec->Models.contains(name) ||
+      !isPast(row.NextAgentRequest, Now) ||
       !isLeaderless(State, Request, row, Now))
     return std::nullopt;
   const ModelSpec &model = spec->Models.at(name);
@@ -72,12 +73,12 @@
   auto chosen = chooseFreeEngine(name, model.WeightsMb, engines);
   if (!chosen)
     return std::nullopt;
-  row.NextAsk = Now + RequestInterval;
+  row.NextAgentRequest = Now + RequestInterval;
   ModelLoadRequest out;
   out.Agent = states[*chosen]->Agent;
   out.Order.set_engine_address(engines[*chosen].Address);
   out.Order.set_load(name);
-  *out.Order.mutable_sizes() = sizesFor(*spec);
+  *out.Order.mutable_sizes() = makeEngineSizes(*spec);
   out.Order.set_expires_in_ms(
       static_cast<uint64_t>((model.DiskLoad + OrderSlack).count()));
   return out;
--- a/front/relay.cpp
+++ b/front/relay.cpp
@@ -10,25 +10,26 @@
 
 namespace {
 
-/// A connection within the fleet's places is there after some milliseconds;
-/// with one lost packet still within this.
-constexpr Millis ConnectLimit{700};
-/// Kept connections older than this are not used for what may run once only:
-/// the endpoint may be closing them.
-constexpr Millis MostIdleOnce{1'500};
-constexpr Millis MostIdle{8'000};
-/// Another front serves a caller at once.
-constexpr Millis StoppingRetry{100};
-/// Answers up to this size are held back until they are whole, so that a
-/// broken one can be replaced. Bytes.
-constexpr size_t HeldAnswer = 256ULL * 1024;
+/// Connecting within the fleet takes a few milliseconds, and less than this
+/// even when one packet is lost.
+constexpr Millis ConnectTimeout{700};
+/// Kept connections that were idle for longer are not used for requests that
+/// must not run twice: the endpoint may be closing them.
+constexpr Millis MaxIdleNonRepeatable{1'500};
+/// The same for requests that may be repeated.
+constexpr Millis MaxIdle{8'000};
+/// Another front can serve the caller immediately.
+constexpr Millis StoppingRetryAfter{100};
+/// Responses of up to this size in bytes are buffered until they are complete,
+/// so that an incomplete one can be replaced by a retry.
+constexpr size_t MaxBufferedResponse = 256ULL * 1024;
 constexpr unsigned StatusMisdirected = 421;
 constexpr unsigned StatusClientClosed = 499; ///< For the log only.
 
 bool isSuccess(unsigned Status) { return Status >= 200 && Status < 300; }
 
-/// Statuses that promise that a request has not run.
-bool isPromise(unsigned Status) {
+/// Statuses that mean that the request has not run.
+bool isNotRunStatus(unsigned Status) {
   return Status == 408 || Status == 421 || Status == 429 || Status == 503;
 }
 
@@ -36,7 +37,7 @@
                         const FrontRefusal &Refusal) {
   return R"({"error":{"reason":")" + std::string(nameOf(Refusal.Reason)) +
          R"(","ran":")" + (Request.Runs > 0 ? "unknown" : "not_run") +
-         R"(","request":")" + Request.Facts.Id + "\"}}\n";
+         R"(","request":")" + Request.Attributes.Id + "\"}}\n";
 }
 
 } // namespace
@@ -49,22 +50,22 @@
 void Relay::start() {
   Core.Relays[Request.Number] = shared_from_this();
   Core.ByExchange[Exchange.get()] = Request.Number;
-  armDeadline(Request.Deadline);
+  startDeadlineTimer(Request.Deadline);
   dispatch();
 }
 
-void Relay::armDeadline(TimePoint At) {
+void Relay::startDeadlineTimer(TimePoint At) {
   Timer.expires_after(At - Clock::now());
   Timer.async_wait([self = shared_from_this()](auto ec) {
     if (!ec && !self->IsOver)
-      self->reachDeadline();
+      self->handleDeadline();
   });
 }
 
-void Relay::reachDeadline() {
+void Relay::handleDeadline() {
   if (IsAnswering) {
     Core.Counts.count("stream_timeouts_total");
-    abandon("timeout_streaming");
+    abortResponse("timeout_streaming");
     return;
   }
   bool isSent = Call != nullptr;
@@ -88,32 +89,32 @@
 void Relay::dispatch() {
   if (IsOver || Call)
     return;
-  act(decideDispatch(Core.State, Request, Clock::now()));
+  applyResult(decideDispatch(Core.State, Request, Clock::now()));
 }
 
-void Relay::act(const DispatchResult &Result) {
+void Relay::applyResult(const DispatchResult &Result) {
   NodeMessages messages;
-  for (const AskForAdapter &it : Result.Wishes) {
+  for (const AdapterLoadRequest &it : Result.AdapterRequests) {
     wire::Envelope message;
-    *message.mutable_adapter_wish() = it.Wish;
+    *message.mutable_adapter_wish() = it.Payload;
     messages.push_back({it.Agent, std::move(message)});
   }
-  if (Result.Load) {
+  if (Result.LoadRequest) {
     logEvent(LogLevel::Info, "load_asked",
-             {{"id", Request.Facts.Id},
-              {"model", Result.Load->Order.load()},
-              {"engine", Result.Load->Order.engine_address()},
+             {{"id", Request.Attributes.Id},
+              {"model", Result.LoadRequest->Order.load()},
+              {"engine", Result.LoadRequest->Order.engine_address()},
               {"leader", Core.State.Leader.Node}});
     wire::Envelope message;
-    *message.mutable_engine_order() = Result.Load->Order;
-    messages.push_back({Result.Load->Agent, std::move(message)});
+    *message.mutable_engine_order() = Result.LoadRequest->Order;
+    messages.push_back({Result.LoadRequest->Agent, std::move(message)});
   }
   if (!messages.empty())
     Core.Send(std::move(messages));
-  if (Result.Wish)
-    Core.Wish(*Result.Wish);
-  if (Result.QuotaWish)
-    Core.AskForTokens(*Result.QuotaWish);
+  if (Result.DemandReport)
+    Core.ReportDemand(*Result.DemandReport);
+  if (Result.QuotaRequest)
+    Core.RequestTokens(*Result.QuotaRequest);
   if (auto *target = std::get_if<SendTo>(&Result.Decision)) {
     setWaiting(false);
     send(*target);
@@ -134,7 +135,7 @@
   IsNotRun = false;
   IsStream = false;
   Body.clear();
-  noteDispatched(Core.State, Request, Endpoint);
+  recordDispatch(Core.State, Request, Endpoint);
   if (Request.Sends == 1)
     observe("queue_seconds", now - Request.ArrivedAt);
   Millis left = std::chrono::duration_cast<Millis>(Request.Deadline - now);
@@ -144,25 +145,26 @@
   platform::putEndpointFields(message, fields);
   HttpCalls calls;
   auto self = shared_from_this();
-  calls.OnHead = [self](HttpHead Head) { self->takeHead(std::move(Head)); };
-  calls.OnBody = [self](std::string_view Bytes) { self->takeBody(Bytes); };
-  calls.OnEnd = [self] { self->takeEnd(); };
-  calls.OnBreak = [self](HttpBreak Break) { self->takeBreak(Break); };
-  HttpCallOptions options{std::min(ConnectLimit, left), left + ConnectLimit,
-                          Request.IsRepeatable ? MostIdle : MostIdleOnce};
+  calls.OnHead = [self](HttpHead Head) { self->handleHead(std::move(Head)); };
+  calls.OnBody = [self](std::string_view Bytes) { self->handleBody(Bytes); };
+  calls.OnEnd = [self] { self->handleEnd(); };
+  calls.OnBreak = [self](HttpBreak Break) { self->handleBreak(Break); };
+  HttpCallOptions options{std::min(ConnectTimeout, left), left + ConnectTimeout,
+                          Request.IsRepeatable ? MaxIdle
+                                               : MaxIdleNonRepeatable};
   Call = Core.Client.start(Target.Address, message, options, std::move(calls));
 }
 
-/// An answer to another request, or bytes that no endpoint vouches for, must
-/// not reach the caller.
+/// A response to another request, or a successful one without the endpoint's
+/// seal, must not reach the caller.
 bool Relay::isTrusted(const HttpHead &Head) const {
   auto fields = platform::readAnswerFields(Head.Status, Head.Fields);
-  if (fields.RequestId != Request.Facts.Id)
+  if (fields.RequestId != Request.Attributes.Id)
     return fields.RequestId.empty() && !isSuccess(Head.Status);
   return fields.IsSealed || !isSuccess(Head.Status);
 }
 
-void Relay::takeHead(HttpHead NewHead) {
+void Relay::handleHead(HttpHead NewHead) {
   if (IsOver)
     return;
   TimePoint now = Clock::now();
@@ -175,23 +177,23 @@
   if (fields.Load)
     noteLoad(Core.State.Records[Endpoint],
              fields.Load->Running + fields.Load->Waiting,
-             engineSpecOf(Core.State, Request.Service) ? EngineReportLife
-                                                       : PlainReportLife,
+             findEngineSpec(Core.State, Request.Service) ? EngineReportLife
+                                                         : PlainReportLife,
              now);
   HasHead = true;
   IsNotRun = fields.IsNotRun;
   bool isStreaming = Request.Route->Kind == RequestKind::Streaming &&
                      isSuccess(NewHead.Status);
-  // A resumed stream keeps the head of its first endpoint.
+  // A resumed stream keeps the head from its first endpoint.
   if (!IsAnswering)
     Head = std::move(NewHead);
   if (IsNotRun || !isStreaming)
     return;
   IsStream = true;
-  startAnswer();
+  startResponse();
 }
 
-void Relay::startAnswer() {
+void Relay::startResponse() {
   if (IsAnswering)
     return;
   IsAnswering = true;
@@ -201,25 +203,25 @@
                   IsStream ? std::nullopt : Head.Length);
 }
 
-void Relay::takeBody(std::string_view Bytes) {
+void Relay::handleBody(std::string_view Bytes) {
   if (IsOver)
     return;
   if (IsStream) {
-    std::string events = cutEvents(Cutter, Bytes);
+    std::string events = takeCompleteEvents(EventBuffer, Bytes);
     if (!events.empty())
       writeEvents(std::move(events));
     return;
   }
   if (IsAnswering) {
-    // A resumed exchange that fails; its body is of no use.
+    // The body of a failed attempt to resume a stream is discarded.
     if (!Body.empty() || !Request.Route->IsResumable)
       Exchange->write(std::string(Bytes));
     return;
   }
   Body += Bytes;
-  if (Body.size() <= HeldAnswer || IsNotRun)
+  if (Body.size() <= MaxBufferedResponse || IsNotRun)
     return;
-  startAnswer();
+  startResponse();
   Exchange->write(std::move(Body));
   Body = " ";
 }
@@ -234,15 +236,15 @@
   Exchange->write(std::move(Events));
 }
 
-void Relay::takeEnd() {
+void Relay::handleEnd() {
   if (IsOver)
     return;
   TimePoint now = Clock::now();
   Call.reset();
-  noteExchangeOver(Core.State, Request, Endpoint);
+  recordExchangeEnd(Core.State, Request, Endpoint);
   if (IsStream) {
     noteSuccess(Core.State.Records[Endpoint]);
-    Exchange->write(std::move(Cutter.Rest));
+    Exchange->write(std::move(EventBuffer.Incomplete));
     Exchange->finish();
     observe("answer_seconds", now - Request.ArrivedAt);
     finish("answered", Head.Status);
@@ -254,12 +256,13 @@
   }
   if (IsNotRun) {
     if (Head.Status == StatusMisdirected)
-      noteAbsent(Core.State, Request, Endpoint);
+      recordMissingModel(Core.State, Request, Endpoint);
     failExchange(ExchangeFailure::Rejected);
     return;
   }
-  // A promise that the endpoint does not back may have run all the same.
-  if (isPromise(Head.Status)) {
+  // The status says that the request has not run, but the endpoint did not
+  // confirm it: the request may have run.
+  if (isNotRunStatus(Head.Status)) {
     failExchange(ExchangeFailure::Broken);
     return;
   }
@@ -268,7 +271,7 @@
     return;
   }
   noteSuccess(Core.State.Records[Endpoint]);
-  passOn();
+  forwardResponse();
 }
 
 void Relay::observe(const char *Stage, Clock::duration Span) {
@@ -276,8 +279,8 @@
       Stage, Span, "kind=\"" + std::string(nameOf(Request.Route->Kind)) + '"');
 }
 
-/// Gives the caller the endpoint's own answer, unchanged.
-void Relay::passOn() {
+/// Forwards the endpoint's own response to the caller, unchanged.
+void Relay::forwardResponse() {
   if (IsAnswering) {
     Exchange->finish();
   } else {
@@ -288,11 +291,11 @@
   finish(Head.Status < 500 ? "answered" : "endpoint_error", Head.Status);
 }
 
-void Relay::takeBreak(HttpBreak Break) {
+void Relay::handleBreak(HttpBreak Break) {
   if (IsOver)
     return;
   Call.reset();
-  noteExchangeOver(Core.State, Request, Endpoint);
+  recordExchangeEnd(Core.State, Request, Endpoint);
   if (IsNotRun)
     failExchange(ExchangeFailure::Rejected);
   else
@@ -300,32 +303,32 @@
                                : ExchangeFailure::Unreachable);
 }
 
-/// Ends an exchange that cannot be trusted any more.
+/// Cancels an exchange whose response is not trusted.
 void Relay::breakExchange(ExchangeFailure Failure) {
   if (Call)
     Call->cancel();
   Call.reset();
-  noteExchangeOver(Core.State, Request, Endpoint);
+  recordExchangeEnd(Core.State, Request, Endpoint);
   failExchange(Failure);
 }
 
 void Relay::failExchange(ExchangeFailure Failure) {
-  // What was cut off in the middle of an event comes again with the next run.
-  Cutter.Rest.clear();
-  if (Cutter.LastId)
-    Request.LastEvent = Cutter.LastId;
+  // The resumed stream repeats an event that was interrupted.
+  EventBuffer.Incomplete.clear();
+  if (EventBuffer.LastId)
+    Request.LastEvent = EventBuffer.LastId;
   bool hasAnswer = Failure == ExchangeFailure::Error && !IsAnswering;
-  AfterFailure after = decideAfterFailure(Core.State, Request, Endpoint,
-                                          Failure, hasAnswer, Clock::now());
-  // A stream whose answer has begun goes on only where it can be resumed.
-  bool mayGoOn =
+  RetryDecision after = decideRetry(Core.State, Request, Endpoint, Failure,
+                                    hasAnswer, Clock::now());
+  // Once the response has started, only a resumable stream can be retried.
+  bool canRetry =
       !IsAnswering || (Request.Route->Kind == RequestKind::Streaming &&
                        Request.Route->IsResumable);
-  if (after.IsRetry && mayGoOn) {
+  if (after.IsRetry && canRetry) {
     Core.Counts.count("retries_total",
                       "reason=\"" + std::string(nameOf(*after.Why)) + "\"");
     logEvent(LogLevel::Info, "request_retried",
-             {{"id", Request.Facts.Id},
+             {{"id", Request.Attributes.Id},
               {"reason", std::string(nameOf(*after.Why))},
               {"endpoint", Endpoint},
               {"address", Target.Address},
@@ -336,9 +339,9 @@
     return;
   }
   if (IsAnswering)
-    abandon("answer_broken");
+    abortResponse("answer_broken");
   else if (hasAnswer)
-    passOn();
+    forwardResponse();
   else
     refuse(after.Refusal);
 }
@@ -349,20 +352,21 @@
   if (Call)
     Call->cancel();
   if (Call)
-    noteExchangeOver(Core.State, Request, Endpoint);
+    recordExchangeEnd(Core.State, Request, Endpoint);
   Call.reset();
   if (IsAnswering) {
-    abandon(std::string(nameOf(Refusal.Reason)).c_str());
+    abortResponse(std::string(nameOf(Refusal.Reason)).c_str());
     return;
   }
-  std::vector<HttpField> fields{{"content-type", "application/json"},
-                                platform::printRequestId(Request.Facts.Id)};
+  std::vector<HttpField> fields{
+      {"content-type", "application/json"},
+      platform::printRequestId(Request.Attributes.Id)};
   RetryAfter = Refusal.RetryAfter;
   if (RetryAfter)
     fields.push_back(platform::printRetryAfter(*RetryAfter));
   unsigned status = statusOf(Refusal.Reason);
-  // Only what has surely not run may be told so.
-  if (Request.Runs > 0 && isPromise(status))
+  // Only a request that certainly did not run may be reported as not run.
+  if (Request.Runs > 0 && isNotRunStatus(status))
     status = statusOf(RefusalReason::EndpointFailed);
   Core.Counts.count("refusals_total",
                     "reason=\"" + std::string(nameOf(Refusal.Reason)) + "\"");
@@ -370,12 +374,13 @@
   finish(std::string(nameOf(Refusal.Reason)), status);
 }
 
-/// Breaks an answer that has begun, so that it does not look complete.
-void Relay::abandon(const char *Outcome) {
+/// Closes a response that has started without its regular end, so that the
+/// caller does not take it for complete.
+void Relay::abortResponse(const char *Outcome) {
   if (Call) {
     Call->cancel();
     Call.reset();
-    noteExchangeOver(Core.State, Request, Endpoint);
+    recordExchangeEnd(Core.State, Request, Endpoint);
   }
   Core.Counts.count("answers_broken_total");
   Exchange->abort();
@@ -388,16 +393,16 @@
   Request.Runs += Call != nullptr;
   refuse({Request.Runs > 0 ? RefusalReason::EndpointFailed
                            : RefusalReason::Stopping,
-          StoppingRetry});
+          StoppingRetryAfter});
 }
 
-void Relay::loseCaller(HttpLoss Loss) {
+void Relay::handleCallerLoss(HttpLoss Loss) {
   if (IsOver)
     return;
   if (Call) {
     Call->cancel();
     Call.reset();
-    noteExchangeOver(Core.State, Request, Endpoint);
+    recordExchangeEnd(Core.State, Request, Endpoint);
   }
   bool isGone = Loss == HttpLoss::CallerGone;
   Core.Counts.count(isGone ? "callers_gone_total" : "slow_readers_total");
@@ -410,18 +415,19 @@
   IsOver = true;
   Timer.cancel();
   setWaiting(false);
-  forgetRequest(Core.State, Request);
+  removeWaitingRequest(Core.State, Request);
   TimePoint now = Clock::now();
   logEvent(
       LogLevel::Info, "request_done",
-      {{"id", Request.Facts.Id},
+      {{"id", Request.Attributes.Id},
        {"outcome", Outcome},
        {"status", std::to_string(Status)},
        {"route", Request.Route->Name},
        {"organisation", Request.Organisation},
-       {"model", Request.Facts.Adapter.empty()
-                     ? Request.Facts.Model
-                     : Request.Facts.Model + "/" + Request.Facts.Adapter},
+       {"model",
+        Request.Attributes.Adapter.empty()
+            ? Request.Attributes.Model
+            : Request.Attributes.Model + "/" + Request.Attributes.Adapter},
        {"endpoint", Endpoint},
        {"address", Target.Address},
        {"load", std::to_string(static_cast<int>(Target.Load))},
@@ -441,7 +447,7 @@
        {"left_ms", std::to_string(toMillis(Request.Deadline - now))},
        {"table", std::to_string(Request.Table->Version)}});
   Core.ByExchange.erase(Exchange.get());
-  Core.Relays.erase(Request.Number); // May destroy this.
+  Core.Relays.erase(Request.Number); // May destroy this object.
 }
 
 } // namespace sassafras
--- a/tests/front/test_fleet_view.cpp
+++ b/tests/front/test_fleet_view.cpp
@@ -38,7 +38,7 @@
   state.Self.set_name("front");
   GossipState gossip;
   FleetDemand demand;
-  state.Rows["cold"].Waiting = {1, 2};
+  state.ModelUsages["cold"].Waiting = {1, 2};
   NodeMessages out;
   handleNodeHeartbeat(state, gossip, demand, leaderHeartbeat("a", 1), Start,
                       out);
--- a/tests/front/test_leader_work.cpp
+++ b/tests/front/test_leader_work.cpp
@@ -102,7 +102,7 @@
     planPlacement(Leader, State, Now, out);
     Leader.NextForecastAt = Now;
     sendForecasts(Leader, State, Now, out);
-    return State.Rows["new"].ReadyAt;
+    return State.ModelUsages["new"].ReadyAt;
   }
 
   uint64_t Sequence = 0;
