--- a/agent/agent_shell.cpp
+++ b/agent/agent_shell.cpp
@@ -51,7 +51,7 @@
   void step(const AgentEvent &Event);
   void perform(AgentEffect &Effect);
   void startExchange(const StartExchange &Start);
-  void giveOrder(const GiveOrder &Order);
+  void giveOrder(const SendOrder &Order);
   void probeSilent();
   void probe(int MoreTries);
   void probeLater(int MoreTries);
@@ -143,7 +143,7 @@
                              std::move(calls));
 }
 
-void AgentShell::giveOrder(const GiveOrder &Order) {
+void AgentShell::giveOrder(const SendOrder &Order) {
   bool isLoad = Order.Kind == OrderKind::Load;
   HttpRequest request{"POST",
                       isLoad ? "/admin/load" : "/admin/unload",
@@ -231,7 +231,7 @@
       Io, [self = shared_from_this(), effect = std::move(Effect)] {
         if (const auto *start = std::get_if<StartExchange>(&effect)) {
           self->startExchange(*start);
-        } else if (const auto *order = std::get_if<GiveOrder>(&effect)) {
+        } else if (const auto *order = std::get_if<SendOrder>(&effect)) {
           self->giveOrder(*order);
         } else if (std::holds_alternative<ProbeEndpoint>(effect)) {
           self->probe(MostQuickProbes);
--- a/agent/agent_state.h
+++ b/agent/agent_state.h
@@ -168,7 +168,7 @@
   AttemptKey Key;
 };
 /// Order the endpoint to load or unload.
-struct GiveOrder {
+struct SendOrder {
   OrderKind Kind = OrderKind::Load;
   std::string Row;
   std::string Base;
@@ -183,7 +183,7 @@
 struct ProbeEndpoint {};
 struct AgentExit {};
 using AgentEffect = std::variant<AgentSend, StartExchange, CancelExchange,
-                                 GiveOrder, ProbeEndpoint, AgentExit>;
+                                 SendOrder, ProbeEndpoint, AgentExit>;
 using AgentEffects = std::vector<AgentEffect>;
 
 /// Takes one event at \p Now.
--- a/agent/announcement.cpp
+++ b/agent/announcement.cpp
@@ -83,7 +83,7 @@
   return announcement;
 }
 
-std::string printOrder(const GiveOrder &Order) {
+std::string printOrder(const SendOrder &Order) {
   json::object object;
   object["name"] = Order.Row;
   object["kind"] = Order.IsAdapter ? "adapter" : "model";
--- a/agent/announcement.h
+++ b/agent/announcement.h
@@ -23,7 +23,7 @@
                                               std::string &Problem);
 
 /// JSON of an order for an engine. Thread safe.
-std::string printOrder(const GiveOrder &Order);
+std::string printOrder(const SendOrder &Order);
 
 } // namespace sassafras
 
--- a/agent/orders.cpp
+++ b/agent/orders.cpp
@@ -18,7 +18,7 @@
 void giveOrder(AgentState &State, OrderKind Kind, const wire::Replica &Replica,
                AgentEffects &Out) {
   State.Orders[Replica.row()] = {Kind, Replica.fence()};
-  Out.push_back(GiveOrder{Kind, Replica.row(), Replica.base(),
+  Out.push_back(SendOrder{Kind, Replica.row(), Replica.base(),
                           Replica.is_adapter(), Replica.memory_mb(),
                           Replica.fence(), State.View.Version});
 }
--- a/bench/site.cpp
+++ b/bench/site.cpp
@@ -80,7 +80,7 @@
   void step(const ControlEvent &Event);
   void step(int Entry, const EntryEvent &Event);
   void step(const std::string &Agent, const AgentEvent &Event);
-  void obey(const std::string &Agent, const GiveOrder &Order);
+  void obey(const std::string &Agent, const SendOrder &Order);
   void answer(const std::string &Agent, const StartExchange &Start);
   void grantLocally(int Entry, const wire::GrantRequest &Request);
   void tick();
@@ -297,7 +297,7 @@
       if (Options.Policy.IsCacheBlind && message->Message.has_heartbeat())
         message->Message.mutable_heartbeat()->clear_cached_rows();
       transmit(Agent, message->Address, std::move(message->Message));
-    } else if (auto *order = std::get_if<GiveOrder>(&it)) {
+    } else if (auto *order = std::get_if<SendOrder>(&it)) {
       obey(Agent, *order);
     } else if (auto *start = std::get_if<StartExchange>(&it)) {
       answer(Agent, *start);
@@ -305,7 +305,7 @@
   }
 }
 
-void Site::obey(const std::string &Agent, const GiveOrder &Order) {
+void Site::obey(const std::string &Agent, const SendOrder &Order) {
   Engine &engine = Engines[Agent];
   if (Order.Kind == OrderKind::Unload) {
     after(Millis(50), [this, Agent, Order] {
--- a/tests/fleet_run/fleet_driver.cpp
+++ b/tests/fleet_run/fleet_driver.cpp
@@ -525,7 +525,7 @@
     transmit(Node.Name, message->Address, std::move(message->Message));
   else if (auto *start = std::get_if<StartExchange>(&Effect))
     startEngineRun(Node, *start);
-  else if (auto *order = std::get_if<GiveOrder>(&Effect))
+  else if (auto *order = std::get_if<SendOrder>(&Effect))
     obeyOrder(Node, *order);
 }
 
@@ -591,7 +591,7 @@
   after(first + Millis(10), [pass, key] { pass(EndpointEnd{key}); });
 }
 
-void FleetDriver::obeyOrder(AgentNode &Node, const GiveOrder &Order) {
+void FleetDriver::obeyOrder(AgentNode &Node, const SendOrder &Order) {
   std::string name = Node.Name;
   uint64_t engine = Node.Engine.Incarnation;
   uint64_t agent = Processes[name].Incarnation;
--- a/tests/fleet_run/fleet_driver.h
+++ b/tests/fleet_run/fleet_driver.h
@@ -171,7 +171,7 @@
   void perform(AgentNode &Node, AgentEffect &Effect);
   void persist(FakeDisk &Disk, const ControlEffect &Effect);
   void startEngineRun(AgentNode &Node, const StartExchange &Start);
-  void obeyOrder(AgentNode &Node, const GiveOrder &Order);
+  void obeyOrder(AgentNode &Node, const SendOrder &Order);
   void announce(const std::string &Node);
   void takeOperatorReply(const wire::Envelope &Message);
   void finish(const std::string &Id);
