--- a/agent/agent_parts.h
+++ b/agent/agent_parts.h
@@ -39,7 +39,7 @@
 void passBody(AgentState &State, const EndpointBody &Body, AgentEffects &Out);
 void endAttempt(AgentState &State, const AttemptKey &Key, TimePoint Now,
                 AgentEffects &Out);
-void breakAttempt(AgentState &State, const EndpointBroken &Broken,
+void breakAttempt(AgentState &State, const ExchangeFailed &Broken,
                   TimePoint Now, AgentEffects &Out);
 /// Tells the entries that their attempts still run.
 void sendProgress(AgentState &State, TimePoint Now, AgentEffects &Out);
--- a/agent/agent_shell.cpp
+++ b/agent/agent_shell.cpp
@@ -136,7 +136,7 @@
   };
   calls.OnBreak = [this, key](HttpBreak Break) {
     Calls.erase(key);
-    post(EndpointBroken{key, Break.WasSent});
+    post(ExchangeFailed{key, Break.WasSent});
   };
   Counts.count("attempts_started_total");
   Calls[key] = startHttpCall(Io, EndpointAddress, request, AnswerSilence,
@@ -248,7 +248,7 @@
 void AgentShell::step(const AgentEvent &Event) {
   if (IsExiting)
     return;
-  if (const auto *broken = std::get_if<EndpointBroken>(&Event))
+  if (const auto *broken = std::get_if<ExchangeFailed>(&Event))
     logEvent(LogLevel::Warning, "endpoint_broke",
              {{"request", broken->Key.RequestId},
               {"sent", broken->WasSent ? "yes" : "no"}});
--- a/agent/agent_state.cpp
+++ b/agent/agent_state.cpp
@@ -162,7 +162,7 @@
     passBody(State, *body, out);
   else if (const auto *end = std::get_if<EndpointEnd>(&Event))
     endAttempt(State, end->Key, Now, out);
-  else if (const auto *broken = std::get_if<EndpointBroken>(&Event)) {
+  else if (const auto *broken = std::get_if<ExchangeFailed>(&Event)) {
     breakAttempt(State, *broken, Now, out);
     if (State.IsEndpointUp)
       out.push_back(ProbeEndpoint{});
--- a/agent/agent_state.h
+++ b/agent/agent_state.h
@@ -137,7 +137,7 @@
   AttemptKey Key;
 };
 /// The exchange broke; Sent tells whether the endpoint may have seen it.
-struct EndpointBroken {
+struct ExchangeFailed {
   AttemptKey Key;
   bool WasSent = true;
 };
@@ -150,7 +150,7 @@
 struct AgentStop {};
 using AgentEvent =
     std::variant<AgentTick, AgentReceived, EndpointAnnounced, EndpointGone,
-                 EndpointHead, EndpointBody, EndpointEnd, EndpointBroken,
+                 EndpointHead, EndpointBody, EndpointEnd, ExchangeFailed,
                  OrderDone, AgentStop>;
 
 // ---- Effects ----
--- a/agent/attempts.cpp
+++ b/agent/attempts.cpp
@@ -205,7 +205,7 @@
   rememberEnd(State, Key, wire::ATTEMPT_FAILED);
 }
 
-void breakAttempt(AgentState &State, const EndpointBroken &Broken,
+void breakAttempt(AgentState &State, const ExchangeFailed &Broken,
                   TimePoint Now, AgentEffects &Out) {
   auto active = State.Attempts.find(Broken.Key);
   if (active == State.Attempts.end())
--- a/tests/agent/test_agent_state.cpp
+++ b/tests/agent/test_agent_state.cpp
@@ -204,7 +204,7 @@
     });
   };
   CHECK(hasProbe(
-      stepAgent(bench.State, EndpointBroken{{"r", 1}, true}, bench.Now)));
+      stepAgent(bench.State, ExchangeFailed{{"r", 1}, true}, bench.Now)));
   auto effects = stepAgent(bench.State, EndpointGone{}, bench.Now);
   CHECK_FALSE(hasProbe(effects));
   bool isTold =
--- a/tests/fleet_run/fleet_driver.cpp
+++ b/tests/fleet_run/fleet_driver.cpp
@@ -535,7 +535,7 @@
   if (!Node.Engine.IsUp) {
     after(Millis(1), [this, name, key] {
       whenAwake(name, [this, name, key] {
-        stepOf(Agents[name], EndpointBroken{key, false});
+        stepOf(Agents[name], ExchangeFailed{key, false});
       });
     });
     return;
@@ -579,7 +579,7 @@
   size_t half = answer.size() / 2;
   after(first, [pass, key] { pass(EndpointHead{key, 200, {}}); });
   if (chance(BreakShare)) {
-    after(first + Millis(5), [pass, key] { pass(EndpointBroken{key, true}); });
+    after(first + Millis(5), [pass, key] { pass(ExchangeFailed{key, true}); });
     return;
   }
   after(first + Millis(5), [pass, key, answer, half] {
