--- a/agent/agent_parts.h
+++ b/agent/agent_parts.h
@@ -17,7 +17,7 @@
 void distrustReports(AgentState &State, TimePoint Now);
 /// True when it is known what the endpoint holds.
 bool isEndpointKnown(const AgentState &State, TimePoint Now);
-void takeOrderDone(AgentState &State, const OrderDone &Done, TimePoint Now);
+void takeOrderDone(AgentState &State, const OrderResult &Done, TimePoint Now);
 /// Forgets what the endpoint held: a new process holds nothing of it.
 void forgetEndpoint(AgentState &State);
 /// Loaded rows that the view does not list.
--- a/agent/agent_shell.cpp
+++ b/agent/agent_shell.cpp
@@ -165,7 +165,7 @@
              {{"row", Order.Row},
               {"fence", std::to_string(Order.Fence)},
               {"done", isGood ? "yes" : "no"}});
-    post(OrderDone{Order.Row, Order.Fence, isGood, isOver});
+    post(OrderResult{Order.Row, Order.Fence, isGood, isOver});
   };
   calls.OnEnd = [finish] { finish(true); };
   calls.OnBreak = [finish](HttpBreak) { finish(false); };
--- a/agent/agent_state.cpp
+++ b/agent/agent_state.cpp
@@ -166,7 +166,7 @@
     breakAttempt(State, *broken, Now, out);
     if (State.IsEndpointUp)
       out.push_back(ProbeEndpoint{});
-  } else if (const auto *done = std::get_if<OrderDone>(&Event)) {
+  } else if (const auto *done = std::get_if<OrderResult>(&Event)) {
     takeOrderDone(State, *done, Now);
     State.View.NextHeartbeat = Now;
   } else if (std::holds_alternative<AgentStop>(Event))
--- a/agent/agent_state.h
+++ b/agent/agent_state.h
@@ -141,7 +141,7 @@
   AttemptKey Key;
   bool WasSent = true;
 };
-struct OrderDone {
+struct OrderResult {
   std::string Row;
   uint64_t Fence = 0;
   bool IsDone = false;
@@ -151,7 +151,7 @@
 using AgentEvent =
     std::variant<AgentTick, AgentReceived, EndpointAnnounced, EndpointGone,
                  EndpointHead, EndpointBody, EndpointEnd, ExchangeFailed,
-                 OrderDone, AgentStop>;
+                 OrderResult, AgentStop>;
 
 // ---- Effects ----
 
--- a/agent/orders.cpp
+++ b/agent/orders.cpp
@@ -155,7 +155,7 @@
   }
 }
 
-void takeOrderDone(AgentState &State, const OrderDone &Done, TimePoint Now) {
+void takeOrderDone(AgentState &State, const OrderResult &Done, TimePoint Now) {
   auto order = State.Orders.find(Done.Row);
   if (order == State.Orders.end() || order->second.Fence != Done.Fence)
     return;
--- a/bench/site.cpp
+++ b/bench/site.cpp
@@ -310,7 +310,7 @@
   if (Order.Kind == OrderKind::Unload) {
     after(Millis(50), [this, Agent, Order] {
       Engines[Agent].Rows.erase(Order.Row);
-      step(Agent, OrderDone{Order.Row, Order.Fence, true});
+      step(Agent, OrderResult{Order.Row, Order.Fence, true});
     });
     return;
   }
@@ -328,7 +328,7 @@
     Engine &held = Engines[Agent];
     held.Rows[Order.Row].IsLoading = false;
     held.Cached.insert(Order.Row);
-    step(Agent, OrderDone{Order.Row, Order.Fence, true});
+    step(Agent, OrderResult{Order.Row, Order.Fence, true});
   });
 }
 
--- a/tests/fleet_run/fleet_driver.cpp
+++ b/tests/fleet_run/fleet_driver.cpp
@@ -601,8 +601,8 @@
     whenAwake(name, [=, this] {
       if (Processes[name].Incarnation == agent &&
           Agents[name].Engine.Incarnation == engine)
-        stepOf(Agents[name], OrderDone{Order.Row, Order.Fence,
-                                       IsDone && isAnswered, isAnswered});
+        stepOf(Agents[name], OrderResult{Order.Row, Order.Fence,
+                                         IsDone && isAnswered, isAnswered});
     });
   };
   after(between(0, 5), [this, name, engine, Order, answer] {
