--- a/agent/agent_parts.h
+++ b/agent/agent_parts.h
@@ -21,7 +21,7 @@
 /// Forgets what the endpoint held: a new process holds nothing of it.
 void forgetEndpoint(AgentState &State);
 /// Loaded rows that the view does not list.
-std::vector<std::string> listStrangers(const AgentState &State);
+std::vector<std::string> listUnassignedRows(const AgentState &State);
 /// One report for each replica of the view.
 std::vector<wire::ReplicaReport> reportReplicas(const AgentState &State,
                                                 TimePoint Now);
--- a/agent/agent_state.cpp
+++ b/agent/agent_state.cpp
@@ -47,7 +47,7 @@
     *beat.add_deaths() = death;
   for (const std::string &it : State.Endpoint.Cached)
     beat.add_cached_rows(it);
-  beat.set_has_strangers(!listStrangers(State).empty());
+  beat.set_has_strangers(!listUnassignedRows(State).empty());
   for (const std::string &it : stampHeartbeat(State.View, beat, Now))
     Out.push_back(AgentSend{it, message});
 }
--- a/agent/orders.cpp
+++ b/agent/orders.cpp
@@ -50,7 +50,7 @@
                  !State.Endpoint.Loading.contains(Replica.row());
   if (mayLoad) {
     uint64_t needed = memoryHeld(State, Replica.row()) + Replica.memory_mb();
-    if (needed > State.Endpoint.MemoryMb || !listStrangers(State).empty())
+    if (needed > State.Endpoint.MemoryMb || !listUnassignedRows(State).empty())
       row.FailedFence = Replica.fence();
     else
       giveOrder(State, OrderKind::Load, Replica, Out);
@@ -91,7 +91,7 @@
   return n;
 }
 
-std::vector<std::string> listStrangers(const AgentState &State) {
+std::vector<std::string> listUnassignedRows(const AgentState &State) {
   std::vector<std::string> strangers;
   for (const auto &[name, row] : State.Rows)
     if (row.IsLoaded &&
@@ -118,7 +118,7 @@
        listReplicasOn(State.View.Items, State.Options.Name))
     if (it->engine_incarnation() == State.Endpoint.Incarnation)
       reconcile(State, *it, Out);
-  for (const std::string &it : listStrangers(State))
+  for (const std::string &it : listUnassignedRows(State))
     unloadStranger(State, it, Out);
 }
 
--- a/tests/fleet_run/fleet_driver.cpp
+++ b/tests/fleet_run/fleet_driver.cpp
@@ -661,7 +661,7 @@
       bool isListed =
           listed && listed->engine_incarnation() == node.Engine.Incarnation &&
           node.State.IsEndpointUp && isConfirmed(node.State.View, Now) &&
-          listStrangers(node.State).empty() && node.State.Orders.empty();
+          listUnassignedRows(node.State).empty() && node.State.Orders.empty();
       bool isReported = node.State.Rows.contains(row);
       if (!isListed || !isReported || findReplica(fleet.Items, name, row))
         continue;
