--- a/agent/agent_state.cpp
+++ b/agent/agent_state.cpp
@@ -7,15 +7,17 @@
 
 namespace {
 
-/// An endpoint that has not announced itself for this long is not ready.
-constexpr Millis AnnounceLife{2000};
-/// Ticks further apart than this tell that the process was stopped.
-constexpr Millis FreezeGap{1000};
-/// A stopping agent waits this long for its leave to be known.
-constexpr Millis LeaveNotice{1500};
+/// Validity of an announcement; an endpoint without a newer one is not ready.
+constexpr Millis AnnouncementTtl{2000};
+/// A gap between events of at least this length means that the process was
+/// paused.
+constexpr Millis PauseThreshold{1000};
+/// Minimum time between the start of a stop and the exit, in which the entries
+/// learn that the agent is leaving.
+constexpr Millis LeaveNoticePeriod{1500};
 
 bool isAnnounced(const AgentState &State, TimePoint Now) {
-  return State.IsEndpointUp && Now - State.LastAnnounce < AnnounceLife;
+  return State.IsEndpointUp && Now - State.LastAnnounce < AnnouncementTtl;
 }
 
 wire::Endpoint describeEndpoint(const AgentState &State, TimePoint Now) {
@@ -31,57 +33,59 @@
   endpoint.set_slots(options.Slots);
   endpoint.set_leaving(State.IsStopping || State.Endpoint.IsLeaving);
   endpoint.set_engine_incarnation(State.Endpoint.Incarnation);
-  endpoint.set_ready(isAnnounced(State, Now) && isEndpointKnown(State, Now));
+  endpoint.set_ready(isAnnounced(State, Now) &&
+                     isEndpointStateKnown(State, Now));
   return endpoint;
 }
 
 void sendHeartbeat(AgentState &State, TimePoint Now, AgentEffects &Out) {
   wire::Envelope message;
-  wire::Heartbeat &beat = *message.mutable_heartbeat();
-  beat.set_is_agent(true);
-  *beat.mutable_endpoint() = describeEndpoint(State, Now);
-  beat.set_endpoint_gone(State.HasSeenEndpoint && !State.IsEndpointUp);
-  for (wire::ReplicaReport &it : reportReplicas(State, Now))
-    *beat.add_replicas() = std::move(it);
+  wire::Heartbeat &heartbeat = *message.mutable_heartbeat();
+  heartbeat.set_is_agent(true);
+  *heartbeat.mutable_endpoint() = describeEndpoint(State, Now);
+  heartbeat.set_endpoint_gone(State.HasSeenEndpoint && !State.IsEndpointUp);
+  for (wire::ReplicaReport &it : buildReplicaReports(State, Now))
+    *heartbeat.add_replicas() = std::move(it);
   for (const auto &[name, death] : State.Deaths)
-    *beat.add_deaths() = death;
+    *heartbeat.add_deaths() = death;
   for (const std::string &it : State.Endpoint.Cached)
-    beat.add_cached_rows(it);
-  beat.set_has_strangers(!listUnassignedRows(State).empty());
-  for (const std::string &it : stampHeartbeat(State.View, beat, Now))
+    heartbeat.add_cached_rows(it);
+  heartbeat.set_has_strangers(!listUnassignedRows(State).empty());
+  for (const std::string &it : stampHeartbeat(State.View, heartbeat, Now))
     Out.push_back(AgentSend{it, message});
 }
 
-/// The present endpoint process has ended.
-void buryEndpoint(AgentState &State, TimePoint Now, AgentEffects &Out) {
+/// Handles the end of the current endpoint process: records the death, fails
+/// all running attempts and clears what was known of the process.
+void handleEndpointDeath(AgentState &State, TimePoint Now, AgentEffects &Out) {
   recordDeath(State, State.Endpoint.Incarnation, Now);
-  std::vector<AttemptKey> broken;
+  std::vector<AttemptKey> running;
   for (const auto &[key, attempt] : State.Attempts)
-    broken.push_back(key);
-  for (const AttemptKey &it : broken) {
+    running.push_back(key);
+  for (const AttemptKey &it : running) {
     Out.push_back(CancelExchange{it});
-    breakAttempt(State, {it, true}, Now, Out);
+    failAttempt(State, {it, true}, Now, Out);
   }
   State.Failures.clear();
-  forgetEndpoint(State);
+  clearEndpointState(State);
   State.Endpoint = EndpointReport();
   State.View.NextHeartbeat = Now;
 }
 
-void announce(AgentState &State, const EndpointReport &Report, TimePoint Now,
-              AgentEffects &Out) {
+void handleAnnouncement(AgentState &State, const EndpointReport &Report,
+                        TimePoint Now, AgentEffects &Out) {
   bool isNewProcess = State.Endpoint.Incarnation != Report.Incarnation;
   if (isNewProcess && State.Endpoint.Incarnation != 0)
-    buryEndpoint(State, Now, Out);
-  bool hasNews = isNewProcess || !isAnnounced(State, Now) ||
-                 State.Endpoint.IsLeaving != Report.IsLeaving;
-  takeReport(State, Report, Now);
-  if (hasNews)
+    handleEndpointDeath(State, Now, Out);
+  bool hasChanged = isNewProcess || !isAnnounced(State, Now) ||
+                    State.Endpoint.IsLeaving != Report.IsLeaving;
+  applyReport(State, Report, Now);
+  if (hasChanged)
     State.View.NextHeartbeat = Now;
 }
 
-void receive(AgentState &State, const wire::Envelope &Message, TimePoint Now,
-             AgentEffects &Out) {
+void handleMessage(AgentState &State, const wire::Envelope &Message,
+                   TimePoint Now, AgentEffects &Out) {
   switch (Message.body_case()) {
   case wire::Envelope::kHeartbeatReply:
     for (const std::string &it : Message.heartbeat_reply().deaths_recorded())
@@ -90,7 +94,7 @@
       State.View.NextHeartbeat = Now;
     return;
   case wire::Envelope::kAttempt:
-    takeAttempt(State, Message.attempt(), Message.reply_address(), Now, Out);
+    handleAttempt(State, Message.attempt(), Message.reply_address(), Now, Out);
     return;
   case wire::Envelope::kAttemptCancel:
     cancelAttempt(State, Message.attempt_cancel(), Message.reply_address(), Now,
@@ -101,45 +105,47 @@
   }
 }
 
-/// A process that was stopped reads old reports first when it wakes.
-void noteFreeze(AgentState &State, TimePoint Now) {
-  bool hasRun = State.LastStep != TimePoint();
-  if (hasRun && Now - State.LastStep >= FreezeGap)
-    distrustReports(State, Now);
-  State.LastStep = Now;
+/// Detects that this process was paused. Reports that were queued during the
+/// pause are read first after it, so none is trusted until the lag has passed.
+void detectPause(AgentState &State, TimePoint Now) {
+  bool hasHandledEvent = State.LastEventAt != TimePoint();
+  if (hasHandledEvent && Now - State.LastEventAt >= PauseThreshold)
+    requireFreshReports(State, Now);
+  State.LastEventAt = Now;
 }
 
-void stop(AgentState &State, TimePoint Now) {
+void beginStop(AgentState &State, TimePoint Now) {
   if (State.IsStopping)
     return;
   State.IsStopping = true;
-  State.StopSince = Now;
+  State.StoppingSince = Now;
   State.View.NextHeartbeat = Now;
 }
 
-void countIdle(AgentState &State, TimePoint Now) {
-  bool isFirst = State.IdleCountedAt == TimePoint();
-  std::chrono::duration<double> passed = Now - State.IdleCountedAt;
-  State.IdleCountedAt = Now;
+void accumulateIdleTime(AgentState &State, TimePoint Now) {
+  bool isFirst = State.IdleTimeUpdatedAt == TimePoint();
+  std::chrono::duration<double> passed = Now - State.IdleTimeUpdatedAt;
+  State.IdleTimeUpdatedAt = Now;
   if (isFirst || State.Endpoint.MemoryMb == 0)
     return;
   for (const wire::Replica *it :
        listReplicasOn(State.View.Items, State.Options.Name)) {
     auto row = State.Rows.find(it->row());
     bool isIdle = row != State.Rows.end() && row->second.IsLoaded &&
-                  countRunning(State, it->row()) == 0;
+                  countRunningAttempts(State, it->row()) == 0;
     if (isIdle)
       State.IdleTime += passed * static_cast<double>(it->memory_mb()) /
                         static_cast<double>(State.Endpoint.MemoryMb);
   }
 }
 
-void tick(AgentState &State, TimePoint Now, AgentEffects &Out) {
-  countIdle(State, Now);
+void handleTick(AgentState &State, TimePoint Now, AgentEffects &Out) {
+  accumulateIdleTime(State, Now);
   sendProgress(State, Now, Out);
-  // The entries have time to learn of the leave before the door closes.
+  // Entries need time to learn of the leave before the agent exits.
   bool isDone = State.IsStopping && State.Attempts.empty() &&
-                State.Orders.empty() && Now - State.StopSince >= LeaveNotice;
+                State.Orders.empty() &&
+                Now - State.StoppingSince >= LeaveNoticePeriod;
   if (isDone)
     Out.push_back(AgentExit{});
 }
@@ -149,34 +155,35 @@
 AgentEffects stepAgent(AgentState &State, const AgentEvent &Event,
                        TimePoint Now) {
   AgentEffects out;
-  noteFreeze(State, Now);
+  detectPause(State, Now);
   if (const auto *received = std::get_if<AgentReceived>(&Event))
-    receive(State, received->Message, Now, out);
+    handleMessage(State, received->Message, Now, out);
   else if (const auto *announced = std::get_if<EndpointAnnounced>(&Event))
-    announce(State, announced->Report, Now, out);
+    handleAnnouncement(State, announced->Report, Now, out);
   else if (std::holds_alternative<EndpointGone>(Event))
-    buryEndpoint(State, Now, out);
+    handleEndpointDeath(State, Now, out);
   else if (const auto *head = std::get_if<EndpointHead>(&Event))
-    passHead(State, *head, out);
+    forwardHead(State, *head, out);
   else if (const auto *body = std::get_if<EndpointBody>(&Event))
-    passBody(State, *body, out);
+    forwardBody(State, *body, out);
   else if (const auto *end = std::get_if<EndpointEnd>(&Event))
-    endAttempt(State, end->Key, Now, out);
-  else if (const auto *broken = std::get_if<ExchangeFailed>(&Event)) {
-    breakAttempt(State, *broken, Now, out);
+    completeAttempt(State, end->Key, Now, out);
+  else if (const auto *failure = std::get_if<ExchangeFailed>(&Event)) {
+    failAttempt(State, *failure, Now, out);
     if (State.IsEndpointUp)
       out.push_back(ProbeEndpoint{});
-  } else if (const auto *done = std::get_if<OrderResult>(&Event)) {
-    takeOrderDone(State, *done, Now);
+  } else if (const auto *result = std::get_if<OrderResult>(&Event)) {
+    applyOrderResult(State, *result, Now);
     State.View.NextHeartbeat = Now;
   } else if (std::holds_alternative<AgentStop>(Event))
-    stop(State, Now);
+    beginStop(State, Now);
   else
-    tick(State, Now, out);
-  // Pieces of answers change nothing that orders depend on.
-  bool isPiece = std::holds_alternative<EndpointBody>(Event) ||
-                 std::holds_alternative<EndpointHead>(Event);
-  if (!isPiece)
+    handleTick(State, Now, out);
+  // Response heads and body parts do not trigger it: at most, a head ends its
+  // attempt (unknown row), and the next event takes that into account.
+  bool isResponsePart = std::holds_alternative<EndpointBody>(Event) ||
+                        std::holds_alternative<EndpointHead>(Event);
+  if (!isResponsePart)
     reconcileReplicas(State, Now, out);
   if (isPast(State.View.NextHeartbeat, Now))
     sendHeartbeat(State, Now, out);
--- a/agent/agent_state.h
+++ b/agent/agent_state.h
@@ -1,6 +1,7 @@
 /// \file
-/// Decisions of an agent, the only door to its endpoint: admission, orders,
-/// drain, reports and deaths.
+/// State machine of an agent, through which all requests to its endpoint pass:
+/// admission, load and unload orders, drain, endpoint reports and death
+/// reports. It does no I/O: events go in, effects come out. Not thread safe.
 #ifndef SASSAFRAS_AGENT_AGENT_STATE_H
 #define SASSAFRAS_AGENT_AGENT_STATE_H
 
@@ -16,7 +17,7 @@
 
 namespace sassafras {
 
-/// Ends of attempts that are remembered, so that a resend is recognised.
+/// Ended attempts that are kept to recognise a repeated delivery.
 inline constexpr size_t MaxEndedAttempts = 8192;
 
 struct AgentOptions {
@@ -25,21 +26,21 @@
   std::string Address;
   std::string Zone;
   uint32_t Slots = 8;
-  std::string Service; ///< Row that a plain service serves; empty: an engine.
+  std::string Service; ///< Row of a plain service; empty for an engine.
 };
 
-/// What an endpoint says of itself when it announces.
+/// State that an endpoint reports in an announcement.
 struct EndpointReport {
   uint64_t Incarnation = 0;
   uint64_t MemoryMb = 0;
   bool IsLeaving = false;
   std::set<std::string> Loaded;
   std::set<std::string> Loading;
-  std::set<std::string> Adapters; ///< Those of Loaded that are adapters.
+  std::set<std::string> Adapters; ///< Subset of Loaded.
   std::set<std::string> Cached;
 };
 
-/// One attempt of one request.
+/// Identifies one attempt of a request.
 struct AttemptKey {
   std::string RequestId;
   uint32_t Number = 0;
@@ -53,32 +54,33 @@
   std::string ReplyAddress;
   std::string Row;
   std::string Digest;
-  bool IsAlone = false;
+  /// Runs with no other: its request was running when an endpoint died.
+  bool IsExclusive = false;
   bool HasHead = false;
   uint64_t Offset = 0;
   TimePoint NextProgress;
 };
 
-/// How an attempt ended here.
+/// Outcome of an attempt that has ended on this agent.
 struct EndedAttempt {
   wire::AttemptOutcome Outcome = wire::ATTEMPT_FAILED;
 };
 
 enum class OrderKind { Load, Unload };
 
-/// An order given to the endpoint and not yet answered.
+/// An order sent to the endpoint and not yet answered.
 struct OpenOrder {
   OrderKind Kind = OrderKind::Load;
   uint64_t Fence = 0;
 };
 
-/// What is known of a row on the endpoint.
+/// The agent's knowledge of one row on the endpoint.
 struct RowState {
   bool IsLoaded = false;
   bool IsAdapter = false;
-  uint64_t FailedFence = 0; ///< Load order that the endpoint refused.
-  TimePoint SettledAt;      ///< Reports from before say nothing.
-  bool IsUncertain = false; ///< An order was not answered: wait for reports.
+  uint64_t FailedFence = 0;   ///< Load that was refused or lacked room.
+  TimePoint LastOrderEndedAt; ///< Reports are ignored for the lag after it.
+  bool IsUncertain = false;   ///< An order was not answered; reports decide.
   TimePoint LastUse;
 };
 
@@ -93,10 +95,11 @@
   EndpointReport Endpoint;
   bool IsEndpointUp = false;
   TimePoint LastAnnounce;
-  /// Reports lag, so a new agent process, or one that was stopped for a
-  /// while, waits until one that must have been made later has come in.
-  TimePoint TrustFrom;
-  TimePoint LastStep;
+  /// Reports lag behind the endpoint's state. A new agent process, or one that
+  /// was paused, treats the state as unknown until this time, when the latest
+  /// report is certain to have been made after the start or the pause.
+  TimePoint ReportsTrustedFrom;
+  TimePoint LastEventAt;
   bool HasSeenEndpoint = false;
   std::map<std::string, RowState> Rows;
   std::map<std::string, OpenOrder> Orders; ///< By row.
@@ -104,17 +107,19 @@
   std::map<AttemptKey, EndedAttempt> Ended;
   std::deque<AttemptKey> EndedOrder;
   std::deque<RecentFailure> Failures;
-  std::map<std::string, wire::DeathReport> Deaths; ///< Not yet recorded.
-  /// Time that loaded rows served nobody, by their share of the memory.
+  /// Deaths that the control leader has not yet recorded, by NAME/INCARNATION.
+  std::map<std::string, wire::DeathReport> Deaths;
+  /// Seconds in which loaded rows had no running attempt, each row weighted by
+  /// its share of the endpoint's memory.
   std::chrono::duration<double> IdleTime{0};
-  TimePoint IdleCountedAt;
+  TimePoint IdleTimeUpdatedAt;
   bool IsStopping = false;
-  TimePoint StopSince;
+  TimePoint StoppingSince;
 };
 
 // ---- Events ----
 
-/// Time has passed; send one at least every 50 ms.
+/// Periodic event; must be delivered at least every 50 ms.
 struct AgentTick {};
 struct AgentReceived {
   wire::Envelope Message;
@@ -122,7 +127,7 @@
 struct EndpointAnnounced {
   EndpointReport Report;
 };
-/// The endpoint's port refuses connections: its process is gone.
+/// The endpoint's port refuses connections: its process has ended.
 struct EndpointGone {};
 struct EndpointHead {
   AttemptKey Key;
@@ -136,16 +141,16 @@
 struct EndpointEnd {
   AttemptKey Key;
 };
-/// The exchange broke; Sent tells whether the endpoint may have seen it.
+/// The exchange failed before the response was complete.
 struct ExchangeFailed {
   AttemptKey Key;
-  bool WasSent = true;
+  bool WasSent = true; ///< The endpoint may have received the request.
 };
 struct OrderResult {
   std::string Row;
   uint64_t Fence = 0;
   bool IsDone = false;
-  bool IsAnswered = true; ///< Without an answer it may still go on.
+  bool IsAnswered = true; ///< False: the endpoint may still be executing it.
 };
 struct AgentStop {};
 using AgentEvent =
@@ -159,7 +164,7 @@
   std::string Address;
   wire::Envelope Message;
 };
-/// Send the request to the endpoint.
+/// Sends the request to the endpoint.
 struct StartExchange {
   AttemptKey Key;
   wire::Attempt Request;
@@ -167,29 +172,30 @@
 struct CancelExchange {
   AttemptKey Key;
 };
-/// Order the endpoint to load or unload.
+/// Orders the endpoint to load or unload a row.
 struct SendOrder {
   OrderKind Kind = OrderKind::Load;
   std::string Row;
   std::string Base;
   bool IsAdapter = false;
   uint64_t MemoryMb = 0;
-  uint64_t Fence = 0;  ///< Of the decision that the order carries out.
-  uint64_t Number = 0; ///< Fencing number for the endpoint; never falls.
+  uint64_t Fence = 0;  ///< Of the replica record that the order carries out.
+  uint64_t Number = 0; ///< Fencing token for the endpoint; never decreases.
 };
-/// Find out at once whether the endpoint's process is still there. A death
-/// counts against the requests that ran only once it is known, and until then
-/// another endpoint may be given one of them.
+/// Checks immediately whether the endpoint's process still runs. A death is
+/// counted against the running requests only once it is known; until then one
+/// of them may be sent to another endpoint.
 struct ProbeEndpoint {};
 struct AgentExit {};
 using AgentEffect = std::variant<AgentSend, StartExchange, CancelExchange,
                                  SendOrder, ProbeEndpoint, AgentExit>;
 using AgentEffects = std::vector<AgentEffect>;
 
-/// Takes one event at \p Now.
+/// Applies one event at \p Now and returns the effects to execute.
 AgentEffects stepAgent(AgentState &State, const AgentEvent &Event,
                        TimePoint Now);
-/// True when the endpoint is announced and the agent is not stopping.
+/// True when the endpoint's last announcement is recent and the agent is not
+/// stopping.
 bool isAgentReady(const AgentState &State, TimePoint Now);
 
 } // namespace sassafras
--- a/agent/attempts.cpp
+++ b/agent/attempts.cpp
@@ -8,12 +8,14 @@
 
 namespace {
 
-/// Running attempts are confirmed to their entries this often.
+/// Interval at which running attempts are confirmed to their entries.
 constexpr Millis ProgressPeriod{800};
-/// A broken exchange this shortly before a death counts as running there.
+/// A request whose exchange failed at most this long before the endpoint's
+/// death is reported as running at the death.
 constexpr Millis DeathWindow{3000};
 constexpr unsigned StatusNotFound = 404;
-/// Attempts of an earlier term are taken for this long after it ended.
+/// Attempts stamped in an earlier term are admitted for this long after the
+/// agent learned of the current term.
 constexpr Millis TermGrace = timing::ViewLease;
 
 void reply(AgentEffects &Out, const std::string &Address, const AttemptKey &Key,
@@ -34,8 +36,8 @@
   reply(Out, Address, Key, std::move(answer));
 }
 
-void rememberEnd(AgentState &State, const AttemptKey &Key,
-                 wire::AttemptOutcome Outcome) {
+void recordEnd(AgentState &State, const AttemptKey &Key,
+               wire::AttemptOutcome Outcome) {
   if (!State.Ended.contains(Key))
     State.EndedOrder.push_back(Key);
   State.Ended[Key] = {Outcome};
@@ -45,11 +47,12 @@
   State.EndedOrder.pop_front();
 }
 
-/// The entry's view had ended when this attempt came in, so it was held up
-/// on its way and what was checked before it was sent no longer counts.
+/// True when the entry's view lease had expired by the time this attempt
+/// arrived: the attempt was delayed on its way, and the checks made before it
+/// was sent are no longer valid.
 bool isStampStale(const AgentState &State, const wire::Attempt &Attempt,
                   TimePoint Now) {
-  // A later term's time cannot be judged before its leader has answered.
+  // Fleet time of a later term is unknown before its leader has answered.
   if (Attempt.stamp_term() > State.View.Term)
     return true;
   if (Attempt.stamp_term() < State.View.Term)
@@ -57,14 +60,14 @@
   return fleetTimeMs(State.View, Now) > Attempt.stamp_until_ms();
 }
 
-bool hasLoneAttempt(const AgentState &State) {
+bool hasExclusiveAttempt(const AgentState &State) {
   return std::any_of(State.Attempts.begin(), State.Attempts.end(),
-                     [](const auto &it) { return it.second.IsAlone; });
+                     [](const auto &it) { return it.second.IsExclusive; });
 }
 
 /// Why the replica cannot take work; empty when it can.
-std::string refuseReplica(const AgentState &State,
-                          const wire::Attempt &Attempt) {
+std::string checkReplica(const AgentState &State,
+                         const wire::Attempt &Attempt) {
   if (!State.Options.Service.empty())
     return Attempt.row() == State.Options.Service ? "" : "wrong_service";
   const wire::Replica *replica =
@@ -78,27 +81,28 @@
   return isLoaded ? "" : "not_loaded";
 }
 
-/// Why the attempt is not admitted; empty when it is.
-std::string refuseAttempt(const AgentState &State, const wire::Attempt &Attempt,
-                          TimePoint Now) {
+/// Reason why the attempt is not admitted; empty when it is.
+std::string checkAdmission(const AgentState &State,
+                           const wire::Attempt &Attempt, TimePoint Now) {
   if (State.IsStopping || State.Endpoint.IsLeaving)
     return "leaving";
-  if (!isEndpointKnown(State, Now))
+  if (!isEndpointStateKnown(State, Now))
     return "endpoint_down";
   if (isStampStale(State, Attempt, Now))
     return "stale";
   if (State.Attempts.size() >= State.Options.Slots)
     return "busy";
-  if (hasLoneAttempt(State) || (Attempt.alone() && !State.Attempts.empty()))
+  if (hasExclusiveAttempt(State) ||
+      (Attempt.alone() && !State.Attempts.empty()))
     return "alone";
-  return refuseReplica(State, Attempt);
+  return checkReplica(State, Attempt);
 }
 
 } // namespace
 
-void takeAttempt(AgentState &State, const wire::Attempt &Attempt,
-                 const std::string &ReplyAddress, TimePoint Now,
-                 AgentEffects &Out) {
+void handleAttempt(AgentState &State, const wire::Attempt &Attempt,
+                   const std::string &ReplyAddress, TimePoint Now,
+                   AgentEffects &Out) {
   AttemptKey key{Attempt.request_id(), Attempt.number()};
   if (State.Attempts.contains(key)) {
     replyOutcome(Out, ReplyAddress, key, wire::ATTEMPT_NONE, "running");
@@ -109,16 +113,17 @@
     replyOutcome(Out, ReplyAddress, key, ended->second.Outcome, "ended");
     return;
   }
-  // An earlier process may have started it; this one cannot vouch for it.
+  // An earlier agent process may have started it, so "not run" cannot be
+  // stated.
   if (Attempt.agent_incarnation() != State.Options.Incarnation) {
     replyOutcome(Out, ReplyAddress, key, wire::ATTEMPT_FAILED,
                  "other_incarnation");
     return;
   }
-  std::string reason = refuseAttempt(State, Attempt, Now);
+  std::string reason = checkAdmission(State, Attempt, Now);
   if (!reason.empty()) {
-    // Refused for good: a late copy of this attempt will not be started either.
-    rememberEnd(State, key, wire::ATTEMPT_NOT_RUN);
+    // A refusal is final: a later copy of this attempt is not started either.
+    recordEnd(State, key, wire::ATTEMPT_NOT_RUN);
     replyOutcome(Out, ReplyAddress, key, wire::ATTEMPT_NOT_RUN, reason);
     return;
   }
@@ -126,7 +131,7 @@
   active.ReplyAddress = ReplyAddress;
   active.Row = Attempt.row();
   active.Digest = Attempt.digest();
-  active.IsAlone = Attempt.alone();
+  active.IsExclusive = Attempt.alone();
   active.NextProgress = Now + ProgressPeriod;
   State.Attempts[key] = std::move(active);
   State.Rows[Attempt.row()].LastUse = Now;
@@ -142,7 +147,7 @@
   if (active != State.Attempts.end()) {
     State.Rows[active->second.Row].LastUse = Now;
     State.Attempts.erase(active);
-    rememberEnd(State, key, wire::ATTEMPT_FAILED);
+    recordEnd(State, key, wire::ATTEMPT_FAILED);
     Out.push_back(CancelExchange{key});
     replyOutcome(Out, ReplyAddress, key, wire::ATTEMPT_FAILED, "cancelled");
     return;
@@ -150,22 +155,23 @@
   if (Cancel.agent_incarnation() != State.Options.Incarnation)
     return;
   if (!State.Ended.contains(key))
-    rememberEnd(State, key, wire::ATTEMPT_NOT_RUN);
+    recordEnd(State, key, wire::ATTEMPT_NOT_RUN);
   replyOutcome(Out, ReplyAddress, key, State.Ended[key].Outcome, "cancelled");
 }
 
-void passHead(AgentState &State, const EndpointHead &Head, AgentEffects &Out) {
+void forwardHead(AgentState &State, const EndpointHead &Head,
+                 AgentEffects &Out) {
   auto active = State.Attempts.find(Head.Key);
   if (active == State.Attempts.end())
     return;
-  // An engine that does not know the row has not run the request; it may be
-  // a new process that has not announced itself yet.
+  // An engine that does not know the row has not executed the request; it may
+  // be a new process that has not announced itself yet.
   bool isUnknownRow =
       State.Options.Service.empty() && Head.Status == StatusNotFound;
   if (isUnknownRow) {
     std::string address = active->second.ReplyAddress;
     State.Attempts.erase(active);
-    rememberEnd(State, Head.Key, wire::ATTEMPT_NOT_RUN);
+    recordEnd(State, Head.Key, wire::ATTEMPT_NOT_RUN);
     Out.push_back(CancelExchange{Head.Key});
     replyOutcome(Out, address, Head.Key, wire::ATTEMPT_NOT_RUN, "unknown_row");
     return;
@@ -179,7 +185,8 @@
   reply(Out, active->second.ReplyAddress, Head.Key, std::move(answer));
 }
 
-void passBody(AgentState &State, const EndpointBody &Body, AgentEffects &Out) {
+void forwardBody(AgentState &State, const EndpointBody &Body,
+                 AgentEffects &Out) {
   auto active = State.Attempts.find(Body.Key);
   if (active == State.Attempts.end())
     return;
@@ -191,8 +198,8 @@
   reply(Out, active->second.ReplyAddress, Body.Key, std::move(answer));
 }
 
-void endAttempt(AgentState &State, const AttemptKey &Key, TimePoint Now,
-                AgentEffects &Out) {
+void completeAttempt(AgentState &State, const AttemptKey &Key, TimePoint Now,
+                     AgentEffects &Out) {
   auto active = State.Attempts.find(Key);
   if (active == State.Attempts.end())
     return;
@@ -202,22 +209,22 @@
   reply(Out, active->second.ReplyAddress, Key, std::move(answer));
   State.Rows[active->second.Row].LastUse = Now;
   State.Attempts.erase(active);
-  rememberEnd(State, Key, wire::ATTEMPT_FAILED);
+  recordEnd(State, Key, wire::ATTEMPT_FAILED);
 }
 
-void breakAttempt(AgentState &State, const ExchangeFailed &Broken,
-                  TimePoint Now, AgentEffects &Out) {
-  auto active = State.Attempts.find(Broken.Key);
+void failAttempt(AgentState &State, const ExchangeFailed &Failure,
+                 TimePoint Now, AgentEffects &Out) {
+  auto active = State.Attempts.find(Failure.Key);
   if (active == State.Attempts.end())
     return;
-  auto outcome = Broken.WasSent ? wire::ATTEMPT_FAILED : wire::ATTEMPT_NOT_RUN;
-  if (Broken.WasSent)
+  auto outcome = Failure.WasSent ? wire::ATTEMPT_FAILED : wire::ATTEMPT_NOT_RUN;
+  if (Failure.WasSent)
     State.Failures.push_back({active->second.Digest, Now});
   std::string address = active->second.ReplyAddress;
   State.Rows[active->second.Row].LastUse = Now;
   State.Attempts.erase(active);
-  rememberEnd(State, Broken.Key, outcome);
-  replyOutcome(Out, address, Broken.Key, outcome, "endpoint_broke");
+  recordEnd(State, Failure.Key, outcome);
+  replyOutcome(Out, address, Failure.Key, outcome, "endpoint_broke");
 }
 
 void sendProgress(AgentState &State, TimePoint Now, AgentEffects &Out) {
--- a/agent/orders.cpp
+++ b/agent/orders.cpp
@@ -6,16 +6,17 @@
 
 namespace {
 
-/// Reports lag: one that comes this soon after an order is not believed.
-constexpr Millis ReportLag{2000};
-/// Without any leader, a replica that serves nobody goes after this time.
-constexpr std::chrono::seconds OrphanIdle{120};
-
-bool isSettled(const RowState &Row, TimePoint Now) {
-  return Now - Row.SettledAt >= ReportLag;
+/// Maximum lag of a report behind the endpoint's state; reports that arrive
+/// within it after the end of an order are ignored for that row.
+constexpr Millis MaxReportLag{2000};
+/// Without a leader, an idle replica is unloaded after this time.
+constexpr std::chrono::seconds LeaderlessIdleTimeout{120};
+
+bool areReportsCurrent(const RowState &Row, TimePoint Now) {
+  return Now - Row.LastOrderEndedAt >= MaxReportLag;
 }
 
-void giveOrder(AgentState &State, OrderKind Kind, const wire::Replica &Replica,
+void sendOrder(AgentState &State, OrderKind Kind, const wire::Replica &Replica,
                AgentEffects &Out) {
   State.Orders[Replica.row()] = {Kind, Replica.fence()};
   Out.push_back(SendOrder{Kind, Replica.row(), Replica.base(),
@@ -23,8 +24,9 @@
                           Replica.fence(), State.View.Version});
 }
 
-/// Memory of everything that is or may be loaded, by the agent's own ledger.
-uint64_t memoryHeld(const AgentState &State, const std::string &Except) {
+/// Memory in MB of all rows but \p Except that are loaded or have an open
+/// order, by the agent's own records and the sizes in the view.
+uint64_t computeHeldMemory(const AgentState &State, const std::string &Except) {
   uint64_t sum = 0;
   for (const wire::Replica *it :
        listReplicasOn(State.View.Items, State.Options.Name)) {
@@ -49,42 +51,43 @@
                  row.FailedFence != Replica.fence() &&
                  !State.Endpoint.Loading.contains(Replica.row());
   if (mayLoad) {
-    uint64_t needed = memoryHeld(State, Replica.row()) + Replica.memory_mb();
+    uint64_t needed =
+        computeHeldMemory(State, Replica.row()) + Replica.memory_mb();
     if (needed > State.Endpoint.MemoryMb || !listUnassignedRows(State).empty())
       row.FailedFence = Replica.fence();
     else
-      giveOrder(State, OrderKind::Load, Replica, Out);
+      sendOrder(State, OrderKind::Load, Replica, Out);
     return;
   }
   bool mayUnload = Replica.phase() == wire::PHASE_UNLOADING && row.IsLoaded &&
-                   countRunning(State, Replica.row()) == 0;
+                   countRunningAttempts(State, Replica.row()) == 0;
   if (mayUnload)
-    giveOrder(State, OrderKind::Unload, Replica, Out);
+    sendOrder(State, OrderKind::Unload, Replica, Out);
 }
 
-void unloadStranger(AgentState &State, const std::string &Name,
-                    AgentEffects &Out) {
-  if (State.Orders.contains(Name) || countRunning(State, Name) > 0)
+void unloadRow(AgentState &State, const std::string &Name, AgentEffects &Out) {
+  if (State.Orders.contains(Name) || countRunningAttempts(State, Name) > 0)
     return;
-  wire::Replica stranger;
-  stranger.set_row(Name);
-  stranger.set_is_adapter(State.Rows[Name].IsAdapter);
-  stranger.set_fence(State.View.Version);
-  giveOrder(State, OrderKind::Unload, stranger, Out);
+  wire::Replica replica;
+  replica.set_row(Name);
+  replica.set_is_adapter(State.Rows[Name].IsAdapter);
+  replica.set_fence(State.View.Version);
+  sendOrder(State, OrderKind::Unload, replica, Out);
 }
 
-/// With no leader in sight, what serves nobody does not stay loaded.
-void unloadOrphans(AgentState &State, TimePoint Now, AgentEffects &Out) {
-  if (Now - State.View.LeaseEnd < OrphanIdle)
+/// Once the view's lease has been expired for LeaderlessIdleTimeout, unloads
+/// the rows that have been idle for as long.
+void unloadIdleRows(AgentState &State, TimePoint Now, AgentEffects &Out) {
+  if (Now - State.View.LeaseEnd < LeaderlessIdleTimeout)
     return;
   for (auto &[name, row] : State.Rows)
-    if (row.IsLoaded && Now - row.LastUse >= OrphanIdle)
-      unloadStranger(State, name, Out);
+    if (row.IsLoaded && Now - row.LastUse >= LeaderlessIdleTimeout)
+      unloadRow(State, name, Out);
 }
 
 } // namespace
 
-uint32_t countRunning(const AgentState &State, const std::string &Row) {
+uint32_t countRunningAttempts(const AgentState &State, const std::string &Row) {
   uint32_t n = 0;
   for (const auto &[key, attempt] : State.Attempts)
     n += attempt.Row == Row;
@@ -92,24 +95,25 @@
 }
 
 std::vector<std::string> listUnassignedRows(const AgentState &State) {
-  std::vector<std::string> strangers;
+  std::vector<std::string> unassigned;
   for (const auto &[name, row] : State.Rows)
     if (row.IsLoaded &&
         !findReplica(State.View.Items, State.Options.Name, name))
-      strangers.push_back(name);
-  return strangers;
+      unassigned.push_back(name);
+  return unassigned;
 }
 
 void reconcileReplicas(AgentState &State, TimePoint Now, AgentEffects &Out) {
-  if (!isEndpointKnown(State, Now) || !State.Options.Service.empty())
+  if (!isEndpointStateKnown(State, Now) || !State.Options.Service.empty())
     return;
-  // Nobody is obeyed before a current leader has answered this process.
+  // No replica record is acted on until a current leader has confirmed the
+  // view of this process.
   if (!isConfirmed(State.View, Now)) {
-    unloadOrphans(State, Now, Out);
+    unloadIdleRows(State, Now, Out);
     return;
   }
-  // What an earlier process said of its orders has been recorded or is void
-  // once the record names this process.
+  // Once the endpoint record has this process's incarnation, what an earlier
+  // agent process reported of its orders is either recorded or void.
   const wire::Endpoint *own =
       findEndpoint(State.View.Items, State.Options.Name);
   if (!own || own->incarnation() != State.Options.Incarnation)
@@ -119,22 +123,22 @@
     if (it->engine_incarnation() == State.Endpoint.Incarnation)
       reconcile(State, *it, Out);
   for (const std::string &it : listUnassignedRows(State))
-    unloadStranger(State, it, Out);
+    unloadRow(State, it, Out);
 }
 
-void distrustReports(AgentState &State, TimePoint Now) {
+void requireFreshReports(AgentState &State, TimePoint Now) {
   if (State.Options.Service.empty())
-    State.TrustFrom = Now + ReportLag;
+    State.ReportsTrustedFrom = Now + MaxReportLag;
 }
 
-bool isEndpointKnown(const AgentState &State, TimePoint Now) {
-  return State.IsEndpointUp && isPast(State.TrustFrom, Now);
+bool isEndpointStateKnown(const AgentState &State, TimePoint Now) {
+  return State.IsEndpointUp && isPast(State.ReportsTrustedFrom, Now);
 }
 
-void takeReport(AgentState &State, const EndpointReport &Report,
-                TimePoint Now) {
+void applyReport(AgentState &State, const EndpointReport &Report,
+                 TimePoint Now) {
   if (!State.HasSeenEndpoint)
-    distrustReports(State, Now);
+    requireFreshReports(State, Now);
   State.HasSeenEndpoint = true;
   State.Endpoint = Report;
   State.IsEndpointUp = true;
@@ -142,54 +146,55 @@
   for (const std::string &it : Report.Loaded) {
     auto [known, isNew] = State.Rows.try_emplace(it);
     RowState &row = known->second;
-    // Nobody knows when an earlier process saw it used last.
+    // The last use under an earlier agent process is not known.
     if (isNew)
       row.LastUse = Now;
     row.IsAdapter = row.IsAdapter || Report.Adapters.contains(it);
   }
   for (auto &[name, row] : State.Rows) {
-    if (State.Orders.contains(name) || !isSettled(row, Now))
+    if (State.Orders.contains(name) || !areReportsCurrent(row, Now))
       continue;
     row.IsLoaded = Report.Loaded.contains(name);
     row.IsUncertain = row.IsUncertain && Report.Loading.contains(name);
   }
 }
 
-void takeOrderDone(AgentState &State, const OrderResult &Done, TimePoint Now) {
-  auto order = State.Orders.find(Done.Row);
-  if (order == State.Orders.end() || order->second.Fence != Done.Fence)
+void applyOrderResult(AgentState &State, const OrderResult &Result,
+                      TimePoint Now) {
+  auto order = State.Orders.find(Result.Row);
+  if (order == State.Orders.end() || order->second.Fence != Result.Fence)
     return;
-  RowState &row = State.Rows[Done.Row];
-  row.SettledAt = Now;
-  row.IsUncertain = !Done.IsAnswered;
+  RowState &row = State.Rows[Result.Row];
+  row.LastOrderEndedAt = Now;
+  row.IsUncertain = !Result.IsAnswered;
   bool isLoad = order->second.Kind == OrderKind::Load;
-  if (Done.IsDone) {
+  if (Result.IsDone) {
     row.IsLoaded = isLoad;
     row.LastUse = Now;
-  } else if (isLoad && Done.IsAnswered) {
-    row.FailedFence = Done.Fence;
+  } else if (isLoad && Result.IsAnswered) {
+    row.FailedFence = Result.Fence;
   }
   State.Orders.erase(order);
 }
 
-void forgetEndpoint(AgentState &State) {
+void clearEndpointState(AgentState &State) {
   State.Rows.clear();
   State.Orders.clear();
   State.IsEndpointUp = false;
 }
 
-std::vector<wire::ReplicaReport> reportReplicas(const AgentState &State,
-                                                TimePoint Now) {
+std::vector<wire::ReplicaReport> buildReplicaReports(const AgentState &State,
+                                                     TimePoint Now) {
   std::vector<wire::ReplicaReport> reports;
-  if (!isEndpointKnown(State, Now))
+  if (!isEndpointStateKnown(State, Now))
     return reports;
   for (const wire::Replica *it :
        listReplicasOn(State.View.Items, State.Options.Name)) {
     auto known = State.Rows.find(it->row());
-    bool isOpen = State.Orders.contains(it->row()) ||
-                  (known != State.Rows.end() && known->second.IsUncertain) ||
-                  State.Endpoint.Loading.contains(it->row());
-    if (isOpen || it->engine_incarnation() != State.Endpoint.Incarnation)
+    bool isPending = State.Orders.contains(it->row()) ||
+                     (known != State.Rows.end() && known->second.IsUncertain) ||
+                     State.Endpoint.Loading.contains(it->row());
+    if (isPending || it->engine_incarnation() != State.Endpoint.Incarnation)
       continue;
     RowState row = known == State.Rows.end() ? RowState() : known->second;
     wire::ReplicaReport report;
@@ -198,7 +203,7 @@
     if (row.IsLoaded)
       report.set_phase(wire::PHASE_LOADED);
     report.set_failed(!row.IsLoaded && row.FailedFence == it->fence());
-    report.set_running(countRunning(State, it->row()));
+    report.set_running(countRunningAttempts(State, it->row()));
     report.set_idle_ms(toMillis(Now - row.LastUse));
     reports.push_back(std::move(report));
   }
--- a/tests/agent/test_agent_state.cpp
+++ b/tests/agent/test_agent_state.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Contract of an agent towards entries: what it admits, what it states.
+/// Contract between an agent and the entries: admission of attempts and the
+/// outcomes that the agent states.
 #include "agent/agent_state.h"
 
 #include <catch2/catch.hpp>
@@ -14,8 +15,8 @@
 constexpr uint64_t Fence = 12;
 const TimePoint Start = TimePoint() + std::chrono::hours(1);
 
-struct Bench {
-  Bench() {
+struct AgentFixture {
+  AgentFixture() {
     State.Options = {"engine-1", Self, "address", "zone", 2, ""};
     State.View.ControlAddresses = {"control"};
     EndpointReport report;
@@ -24,17 +25,17 @@
     report.Loaded = {"m1"};
     stepAgent(State, EndpointAnnounced{report}, Now);
     Now += Millis(100);
-    tell(1000);
-    // Reports are believed two seconds after the start.
+    replyToHeartbeat(1000);
+    // Reports are trusted two seconds after the first one.
     for (int i = 0; i < 24; ++i) {
       Now += Millis(100);
       stepAgent(State, EndpointAnnounced{report}, Now);
     }
-    tell(3500);
+    replyToHeartbeat(3500);
   }
 
-  /// The leader's answer to the newest heartbeat, with the whole view.
-  void tell(uint64_t FleetTimeMs) {
+  /// Delivers the leader's reply to the latest heartbeat, with the whole view.
+  void replyToHeartbeat(uint64_t FleetTimeMs) {
     wire::Envelope message;
     wire::HeartbeatReply &reply = *message.mutable_heartbeat_reply();
     reply.set_number(State.View.NextNumber - 1);
@@ -69,7 +70,8 @@
     return out;
   }
 
-  /// Outcome that the agent answers, and whether it started the request.
+  /// Delivers an attempt. Returns the agent's reply and counts started
+  /// requests in Started.
   wire::AttemptReply send(const wire::Attempt &Attempt) {
     wire::Envelope message;
     *message.mutable_attempt() = Attempt;
@@ -92,65 +94,68 @@
 
 struct Case {
   const char *What;
-  std::function<void(Bench &, wire::Attempt &)> Change;
+  std::function<void(AgentFixture &, wire::Attempt &)> Change;
   wire::AttemptOutcome Outcome;
   const char *Reason;
 };
 
 } // namespace
 
-TEST_CASE("agent admits or refuses, case by case") {
+TEST_CASE("agent admits an attempt or refuses it with a reason") {
   const Case cases[] = {
-      {"good", [](Bench &, wire::Attempt &) {}, wire::ATTEMPT_NONE, "started"},
-      {"for an earlier process: nothing can be stated",
-       [](Bench &, wire::Attempt &It) { It.set_agent_incarnation(4); },
+      {"admitted", [](AgentFixture &, wire::Attempt &) {}, wire::ATTEMPT_NONE,
+       "started"},
+      {"for an earlier agent process, whose outcome is unknown",
+       [](AgentFixture &, wire::Attempt &It) { It.set_agent_incarnation(4); },
        wire::ATTEMPT_FAILED, "other_incarnation"},
-      {"held up on its way",
-       [](Bench &, wire::Attempt &It) { It.set_stamp_until_ms(3000); },
+      {"delayed on its way past the stamp",
+       [](AgentFixture &, wire::Attempt &It) { It.set_stamp_until_ms(3000); },
        wire::ATTEMPT_NOT_RUN, "stale"},
-      {"stamp of a leader not yet known",
-       [](Bench &, wire::Attempt &It) { It.set_stamp_term(5); },
+      {"stamp of a later term, whose leader is not yet known",
+       [](AgentFixture &, wire::Attempt &It) { It.set_stamp_term(5); },
        wire::ATTEMPT_NOT_RUN, "stale"},
-      {"stamp of an earlier leader, long after",
-       [](Bench &It, wire::Attempt &Attempt) {
+      {"stamp of an earlier term, long after its end",
+       [](AgentFixture &It, wire::Attempt &Attempt) {
          Attempt.set_stamp_term(3);
          It.Now += Millis(900);
        },
        wire::ATTEMPT_NOT_RUN, "stale"},
-      {"another decision about the row",
-       [](Bench &, wire::Attempt &It) { It.set_fence(Fence - 1); },
+      {"fence of an earlier replica record",
+       [](AgentFixture &, wire::Attempt &It) { It.set_fence(Fence - 1); },
        wire::ATTEMPT_NOT_RUN, "not_loaded"},
-      {"row that is not here",
-       [](Bench &, wire::Attempt &It) { It.set_row("m2"); },
+      {"row without a replica here",
+       [](AgentFixture &, wire::Attempt &It) { It.set_row("m2"); },
        wire::ATTEMPT_NOT_RUN, "not_loaded"},
       {"row that is being unloaded",
-       [](Bench &It, wire::Attempt &) {
+       [](AgentFixture &It, wire::Attempt &) {
          It.Phase = wire::PHASE_UNLOADING;
-         It.tell(3600);
+         It.replyToHeartbeat(3600);
        },
        wire::ATTEMPT_NOT_RUN, "not_loaded"},
       {"stopping",
-       [](Bench &It, wire::Attempt &) {
+       [](AgentFixture &It, wire::Attempt &) {
          stepAgent(It.State, AgentStop{}, It.Now);
        },
        wire::ATTEMPT_NOT_RUN, "leaving"},
-      {"endpoint leaves",
-       [](Bench &It, wire::Attempt &) { It.State.Endpoint.IsLeaving = true; },
+      {"endpoint is leaving",
+       [](AgentFixture &It, wire::Attempt &) {
+         It.State.Endpoint.IsLeaving = true;
+       },
        wire::ATTEMPT_NOT_RUN, "leaving"},
-      {"endpoint is gone",
-       [](Bench &It, wire::Attempt &) {
+      {"endpoint has ended",
+       [](AgentFixture &It, wire::Attempt &) {
          stepAgent(It.State, EndpointGone{}, It.Now);
        },
        wire::ATTEMPT_NOT_RUN, "endpoint_down"},
-      {"slots are taken",
-       [](Bench &It, wire::Attempt &) {
+      {"all slots in use",
+       [](AgentFixture &It, wire::Attempt &) {
          It.send(It.attempt("a"));
          It.send(It.attempt("b"));
          It.Started = 0;
        },
        wire::ATTEMPT_NOT_RUN, "busy"},
-      {"suspect beside another",
-       [](Bench &It, wire::Attempt &Attempt) {
+      {"exclusive attempt of a suspect request while another one runs",
+       [](AgentFixture &It, wire::Attempt &Attempt) {
          It.send(It.attempt("a"));
          It.Started = 0;
          Attempt.set_alone(true);
@@ -159,58 +164,59 @@
   };
   for (const Case &it : cases) {
     INFO(it.What);
-    Bench bench;
-    wire::Attempt attempt = bench.attempt("r");
-    it.Change(bench, attempt);
-    wire::AttemptReply answer = bench.send(attempt);
+    AgentFixture fixture;
+    wire::Attempt attempt = fixture.attempt("r");
+    it.Change(fixture, attempt);
+    wire::AttemptReply answer = fixture.send(attempt);
     CHECK(answer.outcome() == it.Outcome);
     CHECK(answer.reason() == it.Reason);
-    CHECK(bench.Started == (it.Outcome == wire::ATTEMPT_NONE ? 1 : 0));
+    CHECK(fixture.Started == (it.Outcome == wire::ATTEMPT_NONE ? 1 : 0));
   }
 }
 
 TEST_CASE(
-    "agent never starts what it said it did not run, nor anything twice") {
-  Bench bench;
-  wire::Attempt refused = bench.attempt("r");
+    "agent starts no attempt twice and none that it reported as not run") {
+  AgentFixture fixture;
+  wire::Attempt refused = fixture.attempt("r");
   refused.set_fence(Fence + 1);
-  CHECK(bench.send(refused).outcome() == wire::ATTEMPT_NOT_RUN);
-  // The same attempt again, in a form that would be admitted.
-  CHECK(bench.send(bench.attempt("r")).outcome() == wire::ATTEMPT_NOT_RUN);
-  CHECK(bench.Started == 0);
-  bench.send(bench.attempt("s"));
-  bench.send(bench.attempt("s"));
-  CHECK(bench.Started == 1);
-  stepAgent(bench.State, EndpointEnd{{"s", 1}}, bench.Now);
-  CHECK(bench.send(bench.attempt("s")).outcome() == wire::ATTEMPT_FAILED);
-  CHECK(bench.Started == 1);
+  CHECK(fixture.send(refused).outcome() == wire::ATTEMPT_NOT_RUN);
+  // The same attempt again, now with a fence that would be admitted.
+  CHECK(fixture.send(fixture.attempt("r")).outcome() == wire::ATTEMPT_NOT_RUN);
+  CHECK(fixture.Started == 0);
+  fixture.send(fixture.attempt("s"));
+  fixture.send(fixture.attempt("s"));
+  CHECK(fixture.Started == 1);
+  stepAgent(fixture.State, EndpointEnd{{"s", 1}}, fixture.Now);
+  CHECK(fixture.send(fixture.attempt("s")).outcome() == wire::ATTEMPT_FAILED);
+  CHECK(fixture.Started == 1);
   wire::Envelope message;
   message.mutable_attempt_cancel()->set_request_id("t");
   message.mutable_attempt_cancel()->set_number(1);
   message.mutable_attempt_cancel()->set_agent_incarnation(Self);
-  stepAgent(bench.State, AgentReceived{message}, bench.Now);
-  CHECK(bench.send(bench.attempt("t")).outcome() == wire::ATTEMPT_NOT_RUN);
-  CHECK(bench.Started == 1);
+  stepAgent(fixture.State, AgentReceived{message}, fixture.Now);
+  CHECK(fixture.send(fixture.attempt("t")).outcome() == wire::ATTEMPT_NOT_RUN);
+  CHECK(fixture.Started == 1);
 }
 
-TEST_CASE("agent asks at once whether an endpoint that broke off is gone") {
-  // A request that kills its endpoint comes again at once; the death counts
-  // against it only once the agent knows of it.
-  Bench bench;
-  bench.send(bench.attempt("r"));
+TEST_CASE("agent probes the endpoint at once after a failed exchange") {
+  // A request that kills its endpoint is retried at once, and the death is
+  // counted against it only once the agent knows of the death. Without a probe
+  // the retry could reach another endpoint first.
+  AgentFixture fixture;
+  fixture.send(fixture.attempt("r"));
   auto hasProbe = [](const AgentEffects &Effects) {
     return std::any_of(Effects.begin(), Effects.end(), [](const auto &it) {
       return std::holds_alternative<ProbeEndpoint>(it);
     });
   };
   CHECK(hasProbe(
-      stepAgent(bench.State, ExchangeFailed{{"r", 1}, true}, bench.Now)));
-  auto effects = stepAgent(bench.State, EndpointGone{}, bench.Now);
+      stepAgent(fixture.State, ExchangeFailed{{"r", 1}, true}, fixture.Now)));
+  auto effects = stepAgent(fixture.State, EndpointGone{}, fixture.Now);
   CHECK_FALSE(hasProbe(effects));
-  bool isTold =
+  bool isReported =
       std::any_of(effects.begin(), effects.end(), [](const AgentEffect &it) {
         const auto *send = std::get_if<AgentSend>(&it);
         return send && send->Message.heartbeat().deaths_size() == 1;
       });
-  CHECK(isTold);
+  CHECK(isReported);
 }
