--- a/agent/agent_shell.cpp
+++ b/agent/agent_shell.cpp
@@ -19,18 +19,19 @@
 
 namespace {
 
-constexpr Millis TickPeriod{25};
+constexpr Millis TickInterval{25};
 constexpr Millis ExitDelay{200};
-/// An endpoint may be silent for this long within an answer.
-constexpr std::chrono::minutes AnswerSilence{5};
-constexpr std::chrono::minutes OrderLimit{10};
-/// A silent endpoint's port is tried this often.
-constexpr Millis ProbePeriod{1000};
-constexpr Millis ProbeSilence{2000};
-/// One that broke off an answer is tried at this pace and so often: a process
-/// that ends closes its connections some milliseconds before its port.
-constexpr Millis QuickProbePause{15};
-constexpr int MostQuickProbes = 10;
+/// Maximum silence of the endpoint within a response.
+constexpr std::chrono::minutes ResponseIdleTimeout{5};
+/// Maximum silence of the endpoint while it carries out an order.
+constexpr std::chrono::minutes OrderIdleTimeout{10};
+/// Interval of probes to an endpoint that has not announced itself for as long.
+constexpr Millis ProbeInterval{1000};
+constexpr Millis ProbeTimeout{2000};
+/// Delay and number of probe retries after a failed exchange: a process that
+/// ends closes its connections some milliseconds before its listening port.
+constexpr Millis ProbeRetryDelay{15};
+constexpr int MaxProbeRetries = 10;
 constexpr unsigned StatusOk = 200;
 
 class AgentShell : public RoleShell,
@@ -47,14 +48,14 @@
 
 private:
   bool startHttp(std::string &Problem);
-  void takeAnnouncement(const HttpRequest &Request, HttpExchange &Exchange);
-  void step(const AgentEvent &Event);
-  void perform(AgentEffect &Effect);
+  void handleAnnouncement(const HttpRequest &Request, HttpExchange &Exchange);
+  void handleEvent(const AgentEvent &Event);
+  void applyEffect(AgentEffect &Effect);
   void startExchange(const StartExchange &Start);
-  void giveOrder(const SendOrder &Order);
-  void probeSilent();
-  void probe(int MoreTries);
-  void probeLater(int MoreTries);
+  void sendOrder(const SendOrder &Order);
+  void scheduleSilenceProbe();
+  void probe(int RetriesLeft);
+  void scheduleProbeRetry(int RetriesLeft);
   void exit();
   void post(AgentEvent Event) { sendEvent(Role, std::move(Event)); }
 
@@ -62,7 +63,7 @@
   caf::actor_system &System;
   Settings Options;
   Metrics &Counts;
-  AgentState State; ///< Touched by the actor only, once it runs.
+  AgentState State; ///< Used by the actor only, once it runs.
   std::unique_ptr<Link> Peers;
   std::unique_ptr<HttpServer> Server;
   std::unique_ptr<boost::asio::steady_timer> ExitTimer;
@@ -70,7 +71,7 @@
   caf::actor Role;
   std::atomic<bool> IsReady{false};
   bool IsExiting = false;
-  // Touched on the context's thread only.
+  // Used on the io_context's thread only.
   std::string EndpointAddress;
   TimePoint LastAnnounce;
   bool IsProbing = false;
@@ -78,22 +79,22 @@
 };
 
 bool AgentShell::startHttp(std::string &Problem) {
-  HttpServer::Handlers calls;
-  calls.OnRequest = [this](const HttpRequest &Request,
-                           const std::shared_ptr<HttpExchange> &Exchange) {
+  HttpServer::Handlers callbacks;
+  callbacks.OnRequest = [this](const HttpRequest &Request,
+                               const std::shared_ptr<HttpExchange> &Exchange) {
     if (Request.Target == "/announce" && Request.Method == "POST")
-      takeAnnouncement(Request, *Exchange);
+      handleAnnouncement(Request, *Exchange);
     else if (!serveStatusPage(Request, *Exchange, Counts, IsReady))
       Exchange->respond(404, {}, "not found\n");
   };
-  calls.OnLoss = [](const HttpExchange *, HttpLoss) {};
+  callbacks.OnLoss = [](const HttpExchange *, HttpLoss) {};
   Server = std::make_unique<HttpServer>(Io, Options.Http, HttpLimits(), Counts,
-                                        std::move(calls));
+                                        std::move(callbacks));
   return Server->start(Problem);
 }
 
-void AgentShell::takeAnnouncement(const HttpRequest &Request,
-                                  HttpExchange &Exchange) {
+void AgentShell::handleAnnouncement(const HttpRequest &Request,
+                                    HttpExchange &Exchange) {
   std::vector<HttpField> fields{{"content-type", "text/plain"}};
   std::string problem;
   auto announcement = parseAnnouncement(Request.Body, problem);
@@ -114,8 +115,8 @@
       Start.Request.method(), Start.Request.target(), {}, Start.Request.body()};
   for (const wire::Header &it : Start.Request.headers())
     request.Fields.push_back({it.name(), it.value()});
-  HttpCalls calls;
-  calls.OnHead = [this, key](const HttpHead &Head) {
+  HttpCalls callbacks;
+  callbacks.OnHead = [this, key](const HttpHead &Head) {
     EndpointHead head{key, Head.Status, {}};
     for (const HttpField &it : Head.Fields) {
       if (isHopField(it.Name))
@@ -127,98 +128,101 @@
     }
     post(std::move(head));
   };
-  calls.OnBody = [this, key](std::string_view Bytes) {
+  callbacks.OnBody = [this, key](std::string_view Bytes) {
     post(EndpointBody{key, std::string(Bytes)});
   };
-  calls.OnEnd = [this, key] {
+  callbacks.OnEnd = [this, key] {
     Calls.erase(key);
     post(EndpointEnd{key});
   };
-  calls.OnBreak = [this, key](HttpBreak Break) {
+  callbacks.OnBreak = [this, key](HttpBreak Break) {
     Calls.erase(key);
     post(ExchangeFailed{key, Break.WasSent});
   };
   Counts.count("attempts_started_total");
-  Calls[key] = startHttpCall(Io, EndpointAddress, request, AnswerSilence,
-                             std::move(calls));
+  Calls[key] = startHttpCall(Io, EndpointAddress, request, ResponseIdleTimeout,
+                             std::move(callbacks));
 }
 
-void AgentShell::giveOrder(const SendOrder &Order) {
+void AgentShell::sendOrder(const SendOrder &Order) {
   bool isLoad = Order.Kind == OrderKind::Load;
   HttpRequest request{"POST",
                       isLoad ? "/admin/load" : "/admin/unload",
                       {{"content-type", "application/json"}},
-                      printOrder(Order)};
+                      serializeOrder(Order)};
   logEvent(LogLevel::Info, isLoad ? "load_ordered" : "unload_ordered",
            {{"row", Order.Row}, {"fence", std::to_string(Order.Fence)}});
   Counts.count("orders_total", isLoad ? "kind=\"load\"" : "kind=\"unload\"");
-  auto isDone = std::make_shared<bool>(false);
-  HttpCalls calls;
-  calls.OnHead = [isDone](const HttpHead &Head) {
-    *isDone = Head.Status == StatusOk;
+  auto hasStatusOk = std::make_shared<bool>(false);
+  HttpCalls callbacks;
+  callbacks.OnHead = [hasStatusOk](const HttpHead &Head) {
+    *hasStatusOk = Head.Status == StatusOk;
   };
-  calls.OnBody = [](std::string_view) {};
-  auto finish = [this, Order, isDone](bool IsWhole) {
-    bool isGood = IsWhole && *isDone;
-    bool isOver = IsWhole;
+  callbacks.OnBody = [](std::string_view) {};
+  auto finish = [this, Order, hasStatusOk](bool IsComplete) {
+    bool isSuccess = IsComplete && *hasStatusOk;
+    bool isAnswered = IsComplete;
     logEvent(LogLevel::Info, "order_ended",
              {{"row", Order.Row},
               {"fence", std::to_string(Order.Fence)},
-              {"done", isGood ? "yes" : "no"}});
-    post(OrderResult{Order.Row, Order.Fence, isGood, isOver});
+              {"done", isSuccess ? "yes" : "no"}});
+    post(OrderResult{Order.Row, Order.Fence, isSuccess, isAnswered});
   };
-  calls.OnEnd = [finish] { finish(true); };
-  calls.OnBreak = [finish](HttpBreak) { finish(false); };
-  startHttpCall(Io, EndpointAddress, request, OrderLimit, std::move(calls));
+  callbacks.OnEnd = [finish] { finish(true); };
+  callbacks.OnBreak = [finish](HttpBreak) { finish(false); };
+  startHttpCall(Io, EndpointAddress, request, OrderIdleTimeout,
+                std::move(callbacks));
 }
 
-/// Asks again and again whether an endpoint that became silent is still there.
-void AgentShell::probeSilent() {
-  ProbeTimer.expires_after(ProbePeriod);
+/// Periodically probes an endpoint that has stopped announcing itself.
+void AgentShell::scheduleSilenceProbe() {
+  ProbeTimer.expires_after(ProbeInterval);
   ProbeTimer.async_wait([self = shared_from_this()](auto ec) {
     if (ec)
       return;
-    if (Clock::now() - self->LastAnnounce > ProbePeriod)
+    if (Clock::now() - self->LastAnnounce > ProbeInterval)
       self->probe(0);
-    self->probeSilent();
+    self->scheduleSilenceProbe();
   });
 }
 
-/// A port that refuses connections proves that an endpoint is gone. One that
-/// is just ending may still take a connection and break it off; it is tried
-/// again \p MoreTries times.
-void AgentShell::probe(int MoreTries) {
+/// Checks whether the endpoint's process still runs. A port that refuses
+/// connections proves that it has ended. A process that is ending may still
+/// accept a connection and close it, so such a probe is retried up to
+/// \p RetriesLeft times; a timeout is not retried.
+void AgentShell::probe(int RetriesLeft) {
   if (IsProbing || EndpointAddress.empty())
     return;
   IsProbing = true;
-  HttpCalls calls;
-  calls.OnHead = [](const HttpHead &) {};
-  calls.OnBody = [](std::string_view) {};
-  calls.OnEnd = [self = shared_from_this()] { self->IsProbing = false; };
-  calls.OnBreak = [self = shared_from_this(), MoreTries,
-                   announced = LastAnnounce](HttpBreak Break) {
+  HttpCalls callbacks;
+  callbacks.OnHead = [](const HttpHead &) {};
+  callbacks.OnBody = [](std::string_view) {};
+  callbacks.OnEnd = [self = shared_from_this()] { self->IsProbing = false; };
+  callbacks.OnBreak = [self = shared_from_this(), RetriesLeft,
+                       announced = LastAnnounce](HttpBreak Break) {
     self->IsProbing = false;
-    // An announcement meanwhile may be of a new process at this address.
+    // An announcement since the probe may come from a new process at the same
+    // address.
     if (Break.IsRefused && self->LastAnnounce == announced) {
       self->EndpointAddress.clear();
       self->post(EndpointGone{});
-    } else if (MoreTries > 0 && !Break.IsTimeout) {
-      self->probeLater(MoreTries - 1);
+    } else if (RetriesLeft > 0 && !Break.IsTimeout) {
+      self->scheduleProbeRetry(RetriesLeft - 1);
     }
   };
-  startHttpCall(Io, EndpointAddress, {"GET", "/healthz", {}, {}}, ProbeSilence,
-                std::move(calls));
+  startHttpCall(Io, EndpointAddress, {"GET", "/healthz", {}, {}}, ProbeTimeout,
+                std::move(callbacks));
 }
 
-void AgentShell::probeLater(int MoreTries) {
-  auto timer = std::make_shared<boost::asio::steady_timer>(Io, QuickProbePause);
-  timer->async_wait([self = shared_from_this(), timer, MoreTries](auto ec) {
+void AgentShell::scheduleProbeRetry(int RetriesLeft) {
+  auto timer = std::make_shared<boost::asio::steady_timer>(Io, ProbeRetryDelay);
+  timer->async_wait([self = shared_from_this(), timer, RetriesLeft](auto ec) {
     if (!ec)
-      self->probe(MoreTries);
+      self->probe(RetriesLeft);
   });
 }
 
-void AgentShell::perform(AgentEffect &Effect) {
+void AgentShell::applyEffect(AgentEffect &Effect) {
   if (auto *message = std::get_if<AgentSend>(&Effect)) {
     Peers->send(message->Address, std::move(message->Message));
     return;
@@ -232,9 +236,9 @@
         if (const auto *start = std::get_if<StartExchange>(&effect)) {
           self->startExchange(*start);
         } else if (const auto *order = std::get_if<SendOrder>(&effect)) {
-          self->giveOrder(*order);
+          self->sendOrder(*order);
         } else if (std::holds_alternative<ProbeEndpoint>(effect)) {
-          self->probe(MostQuickProbes);
+          self->probe(MaxProbeRetries);
         } else if (const auto *cancel = std::get_if<CancelExchange>(&effect)) {
           auto call = self->Calls.find(cancel->Key);
           if (call == self->Calls.end())
@@ -245,19 +249,19 @@
       });
 }
 
-void AgentShell::step(const AgentEvent &Event) {
+void AgentShell::handleEvent(const AgentEvent &Event) {
   if (IsExiting)
     return;
-  if (const auto *broken = std::get_if<ExchangeFailed>(&Event))
+  if (const auto *failure = std::get_if<ExchangeFailed>(&Event))
     logEvent(LogLevel::Warning, "endpoint_broke",
-             {{"request", broken->Key.RequestId},
-              {"sent", broken->WasSent ? "yes" : "no"}});
+             {{"request", failure->Key.RequestId},
+              {"sent", failure->WasSent ? "yes" : "no"}});
   if (std::holds_alternative<EndpointGone>(Event))
     logEvent(LogLevel::Warning, "endpoint_gone");
   TimePoint now = Clock::now();
   auto effects = stepAgent(State, Event, now);
   for (AgentEffect &it : effects)
-    perform(it);
+    applyEffect(it);
   IsReady = isAgentReady(State, now);
   Counts.set("idle_accelerator_seconds", "", State.IdleTime.count());
   Counts.set("attempts_running", "",
@@ -272,7 +276,8 @@
         std::make_unique<boost::asio::steady_timer>(self->Io, ExitDelay);
     self->ExitTimer->async_wait([self](auto) {
       self->Peers->close();
-      // The actor holds the shell and would keep the process alive.
+      // The actor holds a reference to the shell and would keep the process
+      // running.
       caf::anon_send_exit(self->Role, caf::exit_reason::user_shutdown);
       self->Io.stop();
     });
@@ -296,11 +301,11 @@
                    Options.AgentRole.Service};
   State.View.ControlAddresses = Options.Control;
   State.View.NextNumber = incarnation;
-  std::function<void(AgentEvent &)> step =
-      [self = shared_from_this()](AgentEvent &it) { self->step(it); };
-  Role = System.spawn(makeRoleBehavior<AgentEvent>, step,
-                      AgentEvent(AgentTick{}), TickPeriod);
-  probeSilent();
+  std::function<void(AgentEvent &)> handleEvent =
+      [self = shared_from_this()](AgentEvent &it) { self->handleEvent(it); };
+  Role = System.spawn(makeRoleBehavior<AgentEvent>, handleEvent,
+                      AgentEvent(AgentTick{}), TickInterval);
+  scheduleSilenceProbe();
   return true;
 }
 
--- a/agent/agent_shell.h
+++ b/agent/agent_shell.h
@@ -1,6 +1,6 @@
 /// \file
-/// Shell of a process: link, endpoint exchanges and actor around an agent's
-/// decisions.
+/// Runs an agent's state machine in a process: an actor delivers its events,
+/// and its effects go to the link, the endpoint's HTTP exchanges and timers.
 #ifndef SASSAFRAS_AGENT_AGENT_SHELL_H
 #define SASSAFRAS_AGENT_AGENT_SHELL_H
 
@@ -8,7 +8,7 @@
 
 namespace sassafras {
 
-/// Makes the shell; nothing runs before its start.
+/// Creates the shell; it does nothing until it is started.
 std::shared_ptr<RoleShell> makeAgentShell(const ShellParts &Parts);
 
 } // namespace sassafras
--- a/agent/announcement.cpp
+++ b/agent/announcement.cpp
@@ -24,7 +24,8 @@
   return true;
 }
 
-/// Missing lists are empty; anything but a list of strings is an error.
+/// Reads a list of strings; a missing list is empty. False when the value is
+/// anything else.
 bool readNames(const json::object &Object, std::string_view Name,
                std::set<std::string> &Names) {
   const json::value *it = Object.if_contains(Name);
@@ -47,7 +48,7 @@
   boost::system::error_code ec;
   json::value value = json::parse(json::string_view(Json), ec);
   if (ec || !value.is_object()) {
-    Problem = "not a JSON object";
+    Problem = "announcement is not a JSON object";
     return std::nullopt;
   }
   const json::object &object = value.as_object();
@@ -57,33 +58,33 @@
     announcement.Address = std::string(address->as_string());
   EndpointReport &report = announcement.Report;
   if (!parseAddress(announcement.Address)) {
-    Problem = "address is not IP:port";
+    Problem = "address must be IP:port";
     return std::nullopt;
   }
   if (!readNumber(object, "incarnation", report.Incarnation) ||
       report.Incarnation == 0) {
-    Problem = "incarnation is not a number above zero";
+    Problem = "incarnation must be an integer above zero";
     return std::nullopt;
   }
   if (object.contains("memory_mb") &&
       !readNumber(object, "memory_mb", report.MemoryMb)) {
-    Problem = "memory_mb is not a number";
+    Problem = "memory_mb must be a non-negative integer";
     return std::nullopt;
   }
   if (const json::value *leaving = object.if_contains("leaving"))
     report.IsLeaving = leaving->is_bool() && leaving->as_bool();
-  bool isRead = readNames(object, "loaded", report.Loaded) &&
-                readNames(object, "loading", report.Loading) &&
-                readNames(object, "adapters", report.Adapters) &&
-                readNames(object, "cached", report.Cached);
-  if (!isRead) {
-    Problem = "loaded, loading, adapters and cached are lists of names";
+  bool areListsValid = readNames(object, "loaded", report.Loaded) &&
+                       readNames(object, "loading", report.Loading) &&
+                       readNames(object, "adapters", report.Adapters) &&
+                       readNames(object, "cached", report.Cached);
+  if (!areListsValid) {
+    Problem = "loaded, loading, adapters and cached must be lists of strings";
     return std::nullopt;
   }
   return announcement;
 }
 
-std::string printOrder(const SendOrder &Order) {
+std::string serializeOrder(const SendOrder &Order) {
   json::object object;
   object["name"] = Order.Row;
   object["kind"] = Order.IsAdapter ? "adapter" : "model";
--- a/agent/announcement.h
+++ b/agent/announcement.h
@@ -1,5 +1,5 @@
 /// \file
-/// What an endpoint posts about itself, read from JSON.
+/// JSON codec for endpoint announcements and engine orders.
 #ifndef SASSAFRAS_AGENT_ANNOUNCEMENT_H
 #define SASSAFRAS_AGENT_ANNOUNCEMENT_H
 
@@ -11,19 +11,19 @@
 
 namespace sassafras {
 
-/// An announcement: where the endpoint listens and what it holds.
+/// An endpoint's address (IP:port) and its report.
 struct Announcement {
   std::string Address;
   EndpointReport Report;
 };
 
-/// Reads an announcement. Nothing, with the reason in \p Problem, when it is
-/// not one. Thread safe.
+/// Parses an announcement. Returns nothing and sets \p Problem to the reason
+/// when it is malformed. Thread safe.
 std::optional<Announcement> parseAnnouncement(std::string_view Json,
                                               std::string &Problem);
 
-/// JSON of an order for an engine. Thread safe.
-std::string printOrder(const SendOrder &Order);
+/// Returns the JSON body of a load or unload order for an engine. Thread safe.
+std::string serializeOrder(const SendOrder &Order);
 
 } // namespace sassafras
 
