--- a/agent/agent_state.cpp
+++ b/agent/agent_state.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Validity of an announcement; an endpoint without a newer one is not ready.
-constexpr Millis AnnouncementTtl{2000};
+constexpr Millis AnnouncementLifetime{2000};
 /// A gap between events of at least this length means that the process was
 /// paused.
 constexpr Millis PauseThreshold{1000};
@@ -17,7 +17,7 @@
 constexpr Millis LeaveNoticePeriod{1500};
 
 bool isAnnounced(const AgentState &State, TimePoint Now) {
-  return State.IsEndpointUp && Now - State.LastAnnounce < AnnouncementTtl;
+  return State.IsEndpointUp && Now - State.LastAnnounce < AnnouncementLifetime;
 }
 
 wire::Endpoint describeEndpoint(const AgentState &State, TimePoint Now) {
--- a/engine_agent/engine_agent_shell.cpp
+++ b/engine_agent/engine_agent_shell.cpp
@@ -19,27 +19,34 @@
 
 namespace {
 
-/// The engine is asked at this pace, and more often while an order runs.
-constexpr Millis IdlePoll{100};
-constexpr Millis BusyPoll{20};
-/// The engine runs on this host: an answer is there at once or not at all.
-constexpr Millis EngineSilence{800};
-/// Everything is told anew at this pace, load alone more often.
-constexpr Millis WholePeriod{3'000};
-constexpr Millis LoadPeriod{400};
-/// In a fleet of more fronts than this both are told less often in proportion.
-constexpr int64_t FewFronts = 10;
-constexpr Millis MostWholePeriod{9'000};
-constexpr Millis MostLoadPeriod{1'200};
-constexpr Millis RosterPeriod{500};
-/// One that has just started asks more often, for so long: fronts that started
-/// at the same time know only some of the others at first.
-constexpr Millis NewcomerPeriod{100};
-constexpr Millis NewcomerSpan{2'000};
-constexpr Millis SweepPeriod{2'000};
+/// Interval at which the engine's state is polled: idle, and while a goal or a
+/// load is in progress.
+constexpr Millis IdlePollInterval{100};
+constexpr Millis ActivePollInterval{20};
+/// Timeout for connecting and for each wait on the engine. It runs on this
+/// host, so it answers quickly or not at all.
+constexpr Millis EngineTimeout{800};
+/// Intervals of full reports and, between them, of reports with load figures
+/// only.
+constexpr Millis FullReportInterval{3'000};
+constexpr Millis LoadReportInterval{400};
+/// With more fronts than this, both intervals grow in proportion to the number
+/// of fronts, up to the maximum below.
+constexpr int64_t MaxUnscaledFronts = 10;
+constexpr Millis MaxFullReportInterval{9'000};
+constexpr Millis MaxLoadReportInterval{1'200};
+/// Interval of heartbeats, each of which asks one front for the roster.
+constexpr Millis RosterInterval{500};
+/// Shorter heartbeat interval during the first seconds of the process: fronts
+/// that start at the same time know only some of the others at first.
+constexpr Millis StartupRosterInterval{100};
+constexpr Millis StartupPhase{2'000};
+/// Interval at which expired kept connections to the engine are closed.
+constexpr Millis SweepInterval{2'000};
 constexpr Millis ExitDelay{150};
-/// All orders come from this process alone, so its fence never needs to rise.
-constexpr uint64_t OwnFence = 1;
+/// Fencing token of all commands. Only this process sends commands to the
+/// engine, so it never has to increase.
+constexpr uint64_t ConstantFence = 1;
 constexpr unsigned StatusOk = 200;
 
 class EngineAgentShell : public RoleShell,
@@ -48,7 +55,7 @@
   explicit EngineAgentShell(const ShellParts &Parts)
       : Io(Parts.Io), Options(Parts.Options), Counts(Parts.Counts),
         Client(Parts.Io, Parts.Counts), PollTimer(Parts.Io),
-        BeatTimer(Parts.Io) {}
+        HeartbeatTimer(Parts.Io) {}
   EngineAgentShell(const EngineAgentShell &) = delete;
   EngineAgentShell &operator=(const EngineAgentShell &) = delete;
 
@@ -57,43 +64,44 @@
   void reload(const Settings &NewSettings) override;
 
 private:
-  bool startStatus(std::string &Problem);
-  void takeMessage(const wire::Envelope &Message);
+  bool startStatusServer(std::string &Problem);
+  void handleMessage(const wire::Envelope &Message);
   void poll();
-  void takeAnswer(const std::string &Text);
-  void loseEngine(const std::string &Reason);
-  void act();
-  void giveOrder(const EngineDecision &Decision);
-  void pollAfter(Millis Pause);
-  void tell(TimePoint Now);
-  Millis pace(Millis Period, Millis Most) const;
-  wire::EngineReport makeReport(bool IsWhole);
-  void sendReport(const wire::EngineReport &Report, bool IsFull, TimePoint Now);
-  void beat();
+  void handleStateResponse(const std::string &Text);
+  void handleEngineLoss(const std::string &Reason);
+  void sendNextCommand();
+  void sendCommand(const PlannedCommand &Planned);
+  void schedulePoll(Millis Delay);
+  void publishReport(TimePoint Now);
+  Millis scaleInterval(Millis Interval, Millis Max) const;
+  wire::EngineReport makeReport(bool IncludeModels);
+  void sendReport(const wire::EngineReport &Outgoing, bool IsFull,
+                  TimePoint Now);
+  void sendHeartbeat();
 
   boost::asio::io_context &Io;
   Settings Options;
   Metrics &Counts;
   HttpClient Client;
   boost::asio::steady_timer PollTimer;
-  boost::asio::steady_timer BeatTimer;
+  boost::asio::steady_timer HeartbeatTimer;
   std::unique_ptr<Link> Peers;
-  std::unique_ptr<HttpServer> Status;
+  std::unique_ptr<HttpServer> StatusServer;
   wire::NodeEntry Self;
   Roster Fronts;
   std::vector<std::string> Seeds;
   EngineAgentState State;
-  std::string ToldModels; ///< Serialised, as told last.
-  std::string Orderer;    ///< Front that sent the newest order.
-  uint32_t ToldLoad = 0;
-  uint64_t NextNumber = 1;
+  std::string LastUrgentFields; ///< Serialised, as of the last report.
+  std::string LastOrderSender;  ///< Front that sent the latest order.
+  uint32_t LastReportedLoad = 0;
+  uint64_t NextReportNumber = 1;
   size_t NextFront = 0;
   TimePoint StartedAt;
-  TimePoint NextWhole;
-  TimePoint NextLoad;
+  TimePoint NextFullReport;
+  TimePoint NextLoadReport;
   TimePoint NextSweep;
   bool IsPolling = false;
-  bool IsOrdering = false;
+  bool IsCommandRunning = false;
   bool IsSilent = true;
   bool IsStopping = false;
 };
@@ -103,8 +111,9 @@
   uint64_t incarnation = drawIncarnation();
   Peers = std::make_unique<Link>(
       Io, LinkSelf{Options.Fleet, Options.Node, incarnation, Options.Listen},
-      Counts, [this](const wire::Envelope &Message) { takeMessage(Message); });
-  if (!Peers->start(Problem) || !startStatus(Problem))
+      Counts,
+      [this](const wire::Envelope &Message) { handleMessage(Message); });
+  if (!Peers->start(Problem) || !startStatusServer(Problem))
     return false;
   Self.set_name(Options.Node);
   Self.set_address(Peers->address());
@@ -113,40 +122,40 @@
   Self.set_zone(Options.Zone);
   for (const std::string &it : Options.EngineAgentRole.Seeds)
     Seeds.push_back(atPortOf(it, Peers->address()));
-  beat();
+  sendHeartbeat();
   poll();
   return true;
 }
 
-bool EngineAgentShell::startStatus(std::string &Problem) {
-  HttpServer::Handlers calls;
-  calls.OnRequest = [this](const HttpRequest &Request,
-                           const std::shared_ptr<HttpExchange> &Exchange) {
+bool EngineAgentShell::startStatusServer(std::string &Problem) {
+  HttpServer::Handlers callbacks;
+  callbacks.OnRequest = [this](const HttpRequest &Request,
+                               const std::shared_ptr<HttpExchange> &Exchange) {
     if (!serveStatusPage(Request, *Exchange, Counts, !IsSilent))
       Exchange->respond(404, {}, "not found\n");
   };
-  calls.OnLoss = [](const HttpExchange *, HttpLoss) {};
-  Status = std::make_unique<HttpServer>(Io, Options.Http, HttpLimits(), Counts,
-                                        std::move(calls));
-  return Status->start(Problem);
+  callbacks.OnLoss = [](const HttpExchange *, HttpLoss) {};
+  StatusServer = std::make_unique<HttpServer>(Io, Options.Http, HttpLimits(),
+                                              Counts, std::move(callbacks));
+  return StatusServer->start(Problem);
 }
 
-void EngineAgentShell::takeMessage(const wire::Envelope &Message) {
+void EngineAgentShell::handleMessage(const wire::Envelope &Message) {
   TimePoint now = Clock::now();
   if (Message.has_roster_update()) {
     for (const wire::NodeEntry &it : Message.roster_update().nodes())
-      // A front that is new knows nothing of this engine yet.
+      // A new front has no report of this engine yet.
       if (it.kind() == wire::NODE_FRONT &&
           learnNode(Fronts, it, Options.Node, now))
-        NextWhole = now;
+        NextFullReport = now;
     return;
   }
   if (Message.has_engine_order()) {
     const wire::EngineOrder &order = Message.engine_order();
     bool isTaken = order.engine_address() == Options.EngineAgentRole.Engine &&
-                   takeOrder(State, order, now);
+                   acceptOrder(State, order, now);
     if (isTaken)
-      Orderer = Message.from();
+      LastOrderSender = Message.from();
     logEvent(LogLevel::Info, "order_received",
              {{"order", std::to_string(order.number())},
               {"term", std::to_string(order.term())},
@@ -156,17 +165,17 @@
   } else if (Message.has_adapter_wish()) {
     if (Message.adapter_wish().engine_address() ==
         Options.EngineAgentRole.Engine)
-      takeAdapterWish(State, Message.adapter_wish(), now);
+      acceptAdapterRequest(State, Message.adapter_wish(), now);
   } else {
     return;
   }
-  act();
+  sendNextCommand();
 }
 
 // ---- Engine ----
 
-void EngineAgentShell::pollAfter(Millis Pause) {
-  PollTimer.expires_after(Pause);
+void EngineAgentShell::schedulePoll(Millis Delay) {
+  PollTimer.expires_after(Delay);
   PollTimer.async_wait([self = shared_from_this()](auto ec) {
     if (!ec)
       self->poll();
@@ -174,195 +183,204 @@
 }
 
 void EngineAgentShell::poll() {
-  if (IsPolling || IsOrdering || IsStopping)
+  if (IsPolling || IsCommandRunning || IsStopping)
     return;
   IsPolling = true;
   auto text = std::make_shared<std::string>();
   auto status = std::make_shared<unsigned>(0);
-  HttpCalls calls;
-  calls.OnHead = [status](const HttpHead &Head) { *status = Head.Status; };
-  calls.OnBody = [text](std::string_view Bytes) { *text += Bytes; };
-  calls.OnEnd = [self = shared_from_this(), text, status] {
+  HttpCalls callbacks;
+  callbacks.OnHead = [status](const HttpHead &Head) { *status = Head.Status; };
+  callbacks.OnBody = [text](std::string_view Bytes) { *text += Bytes; };
+  callbacks.OnEnd = [self = shared_from_this(), text, status] {
     self->IsPolling = false;
     if (*status == StatusOk)
-      self->takeAnswer(*text);
+      self->handleStateResponse(*text);
     else
-      self->loseEngine("status " + std::to_string(*status));
+      self->handleEngineLoss("HTTP status " + std::to_string(*status));
   };
-  calls.OnBreak = [self = shared_from_this()](HttpBreak Break) {
+  callbacks.OnBreak = [self = shared_from_this()](HttpBreak Break) {
     self->IsPolling = false;
-    self->loseEngine(Break.IsRefused ? "refused" : "no answer");
+    self->handleEngineLoss(Break.IsRefused ? "connection refused"
+                                           : "no complete response");
   };
   Client.start(Options.EngineAgentRole.Engine, platform::printStateQuestion(),
-               {EngineSilence, EngineSilence, EngineSilence * 4},
-               std::move(calls));
+               {EngineTimeout, EngineTimeout, EngineTimeout * 4},
+               std::move(callbacks));
 }
 
-void EngineAgentShell::takeAnswer(const std::string &Text) {
-  wire::EngineReport reading;
+void EngineAgentShell::handleStateResponse(const std::string &Text) {
+  wire::EngineReport report;
   std::string problem;
-  if (!platform::readState(Text, reading, problem)) {
-    loseEngine(problem);
+  if (!platform::readState(Text, report, problem)) {
+    handleEngineLoss(problem);
     return;
   }
   if (IsSilent)
     logEvent(LogLevel::Info, "engine_regained",
              {{"engine", Options.EngineAgentRole.Engine},
-              {"born", std::to_string(reading.born_ms())}});
+              {"born", std::to_string(report.born_ms())}});
   IsSilent = false;
-  takeReading(State, reading);
+  applyEngineReport(State, report);
   uint64_t done = State.OrderDone;
-  act();
+  sendNextCommand();
   if (State.OrderDone != done)
     logEvent(LogLevel::Info, "order_done",
              {{"order", std::to_string(State.OrderDone)},
-              {"models", std::to_string(reading.models_size())}});
+              {"models", std::to_string(report.models_size())}});
   TimePoint now = Clock::now();
-  tell(now);
+  publishReport(now);
   if (isPast(NextSweep, now)) {
-    NextSweep = now + SweepPeriod;
+    NextSweep = now + SweepInterval;
     Client.sweep();
   }
   bool isActive = State.Goal || !State.Adapters.empty() ||
-                  State.Reading.is_busy() || State.Reading.incoming_size() > 0;
-  if (!IsOrdering)
-    pollAfter(isActive ? BusyPoll : IdlePoll);
+                  State.Report.is_busy() || State.Report.incoming_size() > 0;
+  if (!IsCommandRunning)
+    schedulePoll(isActive ? ActivePollInterval : IdlePollInterval);
 }
 
-void EngineAgentShell::loseEngine(const std::string &Reason) {
+void EngineAgentShell::handleEngineLoss(const std::string &Reason) {
   if (!IsSilent)
     logEvent(LogLevel::Warning, "engine_lost",
              {{"engine", Options.EngineAgentRole.Engine}, {"reason", Reason}});
   IsSilent = true;
-  loseReading(State);
-  tell(Clock::now());
-  pollAfter(IdlePoll);
+  clearEngineReport(State);
+  publishReport(Clock::now());
+  schedulePoll(IdlePollInterval);
 }
 
-void EngineAgentShell::act() {
-  if (IsOrdering || IsPolling || IsStopping)
+void EngineAgentShell::sendNextCommand() {
+  if (IsCommandRunning || IsPolling || IsStopping)
     return;
-  if (auto decision = decideOrder(State, Clock::now()))
-    giveOrder(*decision);
+  if (auto command = chooseCommand(State, Clock::now()))
+    sendCommand(*command);
   else if (State.Goal || !State.Adapters.empty())
-    pollAfter(BusyPoll);
+    schedulePoll(ActivePollInterval);
 }
 
-void EngineAgentShell::giveOrder(const EngineDecision &Decision) {
-  IsOrdering = true;
+void EngineAgentShell::sendCommand(const PlannedCommand &Planned) {
+  IsCommandRunning = true;
   PollTimer.cancel();
-  platform::EngineCommand command;
-  command.IsLoad = Decision.IsLoad;
-  command.Model = Decision.Model;
-  command.Adapter = Decision.Adapter;
-  command.ExpectedSequence = Decision.ExpectedSequence;
-  command.Holder = Options.Node;
-  command.Fence = OwnFence;
-  command.Endpoint = Decision.Endpoint;
+  platform::EngineCommand engineCommand;
+  engineCommand.IsLoad = Planned.IsLoad;
+  engineCommand.Model = Planned.Model;
+  engineCommand.Adapter = Planned.Adapter;
+  engineCommand.ExpectedSequence = Planned.ExpectedSequence;
+  engineCommand.Holder = Options.Node;
+  engineCommand.Fence = ConstantFence;
+  engineCommand.Endpoint = Planned.Endpoint;
   Counts.count("engine_orders_total",
-               Decision.IsLoad ? "kind=\"load\"" : "kind=\"unload\"");
+               Planned.IsLoad ? "kind=\"load\"" : "kind=\"unload\"");
   auto status = std::make_shared<unsigned>(0);
-  auto finish = [self = shared_from_this(), Decision, status](bool IsWhole) {
-    self->IsOrdering = false;
+  auto finish = [self = shared_from_this(), Planned, status](bool IsComplete) {
+    self->IsCommandRunning = false;
     logEvent(LogLevel::Info, "engine_order",
-             {{"kind", Decision.IsLoad ? "load" : "unload"},
-              {"model", Decision.Model},
-              {"adapter", Decision.Adapter},
-              {"sequence", std::to_string(Decision.ExpectedSequence)},
+             {{"kind", Planned.IsLoad ? "load" : "unload"},
+              {"model", Planned.Model},
+              {"adapter", Planned.Adapter},
+              {"sequence", std::to_string(Planned.ExpectedSequence)},
               {"order", std::to_string(self->State.HighestOrder)},
-              {"status", IsWhole ? std::to_string(*status) : "none"}});
-    // Whatever came of it shows in the engine's state.
+              {"status", IsComplete ? std::to_string(*status) : "none"}});
+    // The engine's state shows the result of the engineCommand.
     self->poll();
   };
-  HttpCalls calls;
-  calls.OnHead = [status](const HttpHead &Head) { *status = Head.Status; };
-  calls.OnBody = [](std::string_view) {};
-  calls.OnEnd = [finish] { finish(true); };
-  calls.OnBreak = [finish](HttpBreak) { finish(false); };
-  Client.start(Options.EngineAgentRole.Engine, platform::printCommand(command),
-               {EngineSilence, EngineSilence, EngineSilence * 4},
-               std::move(calls));
+  HttpCalls callbacks;
+  callbacks.OnHead = [status](const HttpHead &Head) { *status = Head.Status; };
+  callbacks.OnBody = [](std::string_view) {};
+  callbacks.OnEnd = [finish] { finish(true); };
+  callbacks.OnBreak = [finish](HttpBreak) { finish(false); };
+  Client.start(
+      Options.EngineAgentRole.Engine, platform::printCommand(engineCommand),
+      {EngineTimeout, EngineTimeout, EngineTimeout * 4}, std::move(callbacks));
 }
 
 // ---- Fronts ----
 
-wire::EngineReport EngineAgentShell::makeReport(bool IsWhole) {
+wire::EngineReport EngineAgentShell::makeReport(bool IncludeModels) {
   wire::EngineReport out;
-  if (IsWhole && State.HasReading) {
-    out = State.Reading;
-    std::set<std::string> leaving = leavingModels(State);
+  if (IncludeModels && State.HasReport) {
+    out = State.Report;
+    std::set<std::string> evicting = listEvictingModels(State);
     out.clear_models();
-    for (const wire::LoadedModel &it : State.Reading.models())
-      if (!leaving.contains(it.name()))
+    for (const wire::LoadedModel &it : State.Report.models())
+      if (!evicting.contains(it.name()))
         *out.add_models() = it;
   } else {
-    out.set_born_ms(State.Reading.born_ms());
-    out.set_is_busy(State.Reading.is_busy());
-    out.set_active(State.Reading.active());
-    out.set_queued(State.Reading.queued());
-    out.set_kv_used(State.Reading.kv_used());
-    out.set_kv_total(State.Reading.kv_total());
-    out.set_is_plain(!IsWhole);
+    out.set_born_ms(State.Report.born_ms());
+    out.set_is_busy(State.Report.is_busy());
+    out.set_active(State.Report.active());
+    out.set_queued(State.Report.queued());
+    out.set_kv_used(State.Report.kv_used());
+    out.set_kv_total(State.Report.kv_total());
+    out.set_is_plain(!IncludeModels);
   }
-  if (IsWhole && State.Goal)
+  if (IncludeModels && State.Goal)
     out.set_loading(State.Goal->Load);
   *out.mutable_self() = Self;
   out.set_address(Options.EngineAgentRole.Engine);
   out.set_is_silent(IsSilent);
   out.set_order_done(State.OrderDone);
-  out.set_number(NextNumber++);
+  out.set_number(NextReportNumber++);
   return out;
 }
 
-Millis EngineAgentShell::pace(Millis Period, Millis Most) const {
+Millis EngineAgentShell::scaleInterval(Millis Interval, Millis Max) const {
   auto fronts = static_cast<int64_t>(Fronts.Nodes.size());
-  return std::max(Period, std::min(Period * fronts / FewFronts, Most));
+  return std::max(Interval,
+                  std::min(Interval * fronts / MaxUnscaledFronts, Max));
 }
 
-void EngineAgentShell::tell(TimePoint Now) {
-  wire::EngineReport whole = makeReport(true);
-  // What makes a report worth telling at once.
-  wire::EngineReport shape;
-  *shape.mutable_models() = whole.models();
-  shape.set_is_silent(whole.is_silent());
-  shape.set_order_done(whole.order_done());
-  shape.set_is_busy(whole.is_busy());
-  shape.set_loading(whole.loading());
-  shape.set_born_ms(whole.born_ms());
-  std::string models = shape.SerializeAsString();
-  bool isDue = isPast(NextWhole, Now);
-  if (models != ToldModels || isDue) {
-    ToldModels = models;
+void EngineAgentShell::publishReport(TimePoint Now) {
+  wire::EngineReport fullReport = makeReport(true);
+  // A change in one of these fields is reported at once.
+  wire::EngineReport urgentFields;
+  *urgentFields.mutable_models() = fullReport.models();
+  urgentFields.set_is_silent(fullReport.is_silent());
+  urgentFields.set_order_done(fullReport.order_done());
+  urgentFields.set_is_busy(fullReport.is_busy());
+  urgentFields.set_loading(fullReport.loading());
+  urgentFields.set_born_ms(fullReport.born_ms());
+  std::string serialized = urgentFields.SerializeAsString();
+  bool isDue = isPast(NextFullReport, Now);
+  if (serialized != LastUrgentFields || isDue) {
+    LastUrgentFields = serialized;
     if (isDue)
-      NextWhole = Now + pace(WholePeriod, MostWholePeriod);
-    NextLoad = Now + pace(LoadPeriod, MostLoadPeriod);
-    sendReport(whole, isDue, Now);
-  } else if (isPast(NextLoad, Now)) {
-    NextLoad = Now + pace(LoadPeriod, MostLoadPeriod);
-    uint32_t load = whole.active() + whole.queued();
-    if (load != ToldLoad)
+      NextFullReport =
+          Now + scaleInterval(FullReportInterval, MaxFullReportInterval);
+    NextLoadReport =
+        Now + scaleInterval(LoadReportInterval, MaxLoadReportInterval);
+    sendReport(fullReport, isDue, Now);
+  } else if (isPast(NextLoadReport, Now)) {
+    NextLoadReport =
+        Now + scaleInterval(LoadReportInterval, MaxLoadReportInterval);
+    uint32_t load = fullReport.active() + fullReport.queued();
+    if (load != LastReportedLoad)
       sendReport(makeReport(false), true, Now);
-    ToldLoad = load;
+    LastReportedLoad = load;
   }
 }
 
-/// Which weights are near matters to whoever places models; the others hear of
-/// it only in full reports.
-void EngineAgentShell::sendReport(const wire::EngineReport &Report, bool IsFull,
-                                  TimePoint Now) {
+/// The lists of weights in the engine's memory and on its disk matter only to
+/// the front that places models, the sender of the latest order; the other
+/// fronts get them in full reports only.
+void EngineAgentShell::sendReport(const wire::EngineReport &Outgoing,
+                                  bool IsFull, TimePoint Now) {
   wire::Envelope full;
-  *full.mutable_engine_report() = Report;
+  *full.mutable_engine_report() = Outgoing;
   wire::Envelope brief = full;
   brief.mutable_engine_report()->clear_in_memory();
   brief.mutable_engine_report()->clear_on_disk();
   brief.mutable_engine_report()->set_has_available(false);
   for (const auto &[name, it] : Fronts.Nodes)
     if (isInView(it, Now))
-      Peers->send(it.Entry.address(), IsFull || name == Orderer ? full : brief);
+      Peers->send(it.Entry.address(),
+                  IsFull || name == LastOrderSender ? full : brief);
 }
 
-/// Asks one front after the other for all fronts, near ones first.
-void EngineAgentShell::beat() {
+/// Sends a heartbeat to one front, which replies with the roster of all fronts.
+/// Goes in turn through the fronts in view in the same zone, or through the
+/// seeds while there are none.
+void EngineAgentShell::sendHeartbeat() {
   if (IsStopping)
     return;
   TimePoint now = Clock::now();
@@ -377,11 +395,11 @@
   if (!targets.empty())
     Peers->send(targets[NextFront++ % targets.size()], message);
   expireNodes(Fronts, now);
-  BeatTimer.expires_after(now - StartedAt < NewcomerSpan ? NewcomerPeriod
-                                                         : RosterPeriod);
-  BeatTimer.async_wait([self = shared_from_this()](auto ec) {
+  HeartbeatTimer.expires_after(
+      now - StartedAt < StartupPhase ? StartupRosterInterval : RosterInterval);
+  HeartbeatTimer.async_wait([self = shared_from_this()](auto ec) {
     if (!ec)
-      self->beat();
+      self->sendHeartbeat();
   });
 }
 
@@ -391,8 +409,8 @@
       return;
     self->IsStopping = true;
     self->PollTimer.cancel();
-    self->BeatTimer.expires_after(ExitDelay);
-    self->BeatTimer.async_wait([self](auto) {
+    self->HeartbeatTimer.expires_after(ExitDelay);
+    self->HeartbeatTimer.async_wait([self](auto) {
       self->Peers->close();
       self->Io.stop();
     });
--- a/engine_agent/engine_agent_shell.h
+++ b/engine_agent/engine_agent_shell.h
@@ -1,6 +1,6 @@
 /// \file
-/// The process beside a model engine: reads its state, gives it orders and
-/// tells the fronts.
+/// Engine agent process: polls a model engine on its host for its state, sends
+/// it load and unload commands and reports to the fronts.
 #ifndef SASSAFRAS_ENGINE_AGENT_ENGINE_AGENT_SHELL_H
 #define SASSAFRAS_ENGINE_AGENT_ENGINE_AGENT_SHELL_H
 
@@ -8,6 +8,7 @@
 
 namespace sassafras {
 
+/// Creates the shell; it does nothing until it is started.
 std::shared_ptr<RoleShell> makeEngineAgentShell(const ShellParts &Parts);
 
 } // namespace sassafras
--- a/engine_agent/engine_orders.h
+++ b/engine_agent/engine_orders.h
@@ -1,10 +1,11 @@
 /// \file
-/// Decisions of the process beside a model engine: which command to give its
-/// engine next. It is the only one that gives commands to that engine.
+/// Order handling of an engine agent: chooses the next command for its model
+/// engine. The agent is the only process that sends commands to that engine.
+/// Not thread safe.
 ///
-/// A command names the number of commands that the engine has accepted so
-/// far, so that one that was left unanswered and is carried out late changes
-/// nothing once another was accepted.
+/// Each command carries the number of commands that the engine has accepted so
+/// far. The engine rejects a command with another number, so an unanswered
+/// command that arrives late has no effect once another was accepted.
 #ifndef SASSAFRAS_ENGINE_AGENT_ENGINE_ORDERS_H
 #define SASSAFRAS_ENGINE_AGENT_ENGINE_ORDERS_H
 
@@ -19,20 +20,26 @@
 
 namespace sassafras {
 
-/// A wish for an adapter is given up after this; its request waits no longer.
-inline constexpr Millis AdapterWishLife{1'000};
-/// Adapters on their way to one engine at once; the engine takes no more.
-inline constexpr size_t MostIncoming = 4;
+/// Lifetime of an adapter request. The inference request behind it waits no
+/// longer than this.
+inline constexpr Millis AdapterRequestLifetime{1'000};
+/// Maximum number of adapters being loaded by one engine; it accepts no more.
+inline constexpr size_t MaxIncomingAdapters = 4;
 
+/// The model that an order wants loaded, and the models that may be evicted
+/// for it.
 struct ModelGoal {
   uint64_t Number = 0;
   std::string Endpoint;
   std::string Load;
   std::vector<std::string> Evict;
+  /// The weights may come from the model store; else only from the engine's own
+  /// memory or disk.
   bool MayUseStore = false;
   TimePoint Expires;
 };
 
+/// An adapter that a front has requested.
 struct AdapterGoal {
   std::string Endpoint;
   std::string Model;
@@ -41,44 +48,52 @@
 };
 
 struct EngineAgentState {
-  wire::EngineReport Reading; ///< Newest answer of the engine.
-  bool HasReading = false;
+  wire::EngineReport Report; ///< Latest state that the engine returned.
+  bool HasReport = false;
   std::optional<ModelGoal> Goal;
   uint64_t HighestOrder = 0;
-  uint64_t OrderDone = 0;
+  uint64_t OrderDone = 0; ///< Highest number of an order that has ended.
   wire::EngineSizes Sizes;
   std::list<AdapterGoal> Adapters;
-  std::map<std::string, TimePoint> AdapterUse; ///< By model/adapter.
+  std::map<std::string, TimePoint> AdapterLastUse; ///< By MODEL/ADAPTER.
 };
 
-/// One command to the engine.
-struct EngineDecision {
+/// A load or unload command for the engine.
+struct PlannedCommand {
   bool IsLoad = true;
   std::string Model;
-  std::string Adapter;
+  std::string Adapter; ///< Empty for the model itself.
   std::string Endpoint;
-  uint64_t ExpectedSequence = 0;
+  uint64_t ExpectedSequence = 0; ///< Commands accepted by the engine so far.
 };
 
-/// Takes an order of the leader, or one without a number of a front that hears
-/// no leader. False when it is old, and when one without a number finds
-/// another order or would make other models give way.
-bool takeOrder(EngineAgentState &State, const wire::EngineOrder &Order,
-               TimePoint Now);
-void takeAdapterWish(EngineAgentState &State, const wire::AdapterWish &Wish,
-                     TimePoint Now);
-/// The engine answered.
-void takeReading(EngineAgentState &State, const wire::EngineReport &Reading);
-/// The engine cannot be reached, or is another process than before.
-void loseReading(EngineAgentState &State);
-/// What to order next. Ends goals that are reached or cannot be.
-std::optional<EngineDecision> decideOrder(EngineAgentState &State,
-                                          TimePoint Now);
-/// Memory in use at the engine, adapters on their way included; nothing when
-/// it holds a model of unknown size.
-std::optional<uint64_t> usedMemory(const EngineAgentState &State);
-/// Models that take no new work: they make way for another.
-std::set<std::string> leavingModels(const EngineAgentState &State);
+/// Accepts an order of the leader, or an order without a number (0) from a
+/// front that has no leader, and makes it the goal. A numbered order replaces
+/// the current goal. False when its number is not higher than all before. An
+/// order without a number is also rejected while a goal exists, the engine's
+/// state is unknown or the engine is busy, and when it lists evictions.
+bool acceptOrder(EngineAgentState &State, const wire::EngineOrder &Order,
+                 TimePoint Now);
+/// Records the use of an adapter and requests its load. Repeating a request
+/// renews its lifetime.
+void acceptAdapterRequest(EngineAgentState &State,
+                          const wire::AdapterWish &Request, TimePoint Now);
+/// Stores the engine's state. A changed start time means a new engine process
+/// and ends the goal.
+void applyEngineReport(EngineAgentState &State,
+                       const wire::EngineReport &Report);
+/// The engine's state is unknown, as it does not answer or its answer cannot be
+/// read. Ends the goal and drops all adapter requests.
+void clearEngineReport(EngineAgentState &State);
+/// Chooses the next command. Ends goals that are reached, expired or cannot be
+/// reached. Returns nothing while the engine's state is unknown or it is busy.
+std::optional<PlannedCommand> chooseCommand(EngineAgentState &State,
+                                            TimePoint Now);
+/// Memory in MB used on the engine, including adapters that are being loaded.
+/// Returns nothing when the engine holds a model of unknown size.
+std::optional<uint64_t> computeUsedMemory(const EngineAgentState &State);
+/// Models that the goal may evict; they accept no new work.
+std::set<std::string> listEvictingModels(const EngineAgentState &State);
 
 } // namespace sassafras
 
