--- a/agent/agent_parts.h
+++ b/agent/agent_parts.h
@@ -50,12 +50,18 @@
 void cancelAttempt(AgentState &State, const wire::AttemptCancel &Cancel,
                    const std::string &ReplyAddress, TimePoint Now,
                    AgentEffects &Out);
+/// Forwards a response head to the entry. A 404 of an engine ends the attempt
+/// as not run.
 void forwardHead(AgentState &State, const EndpointHead &Head,
                  AgentEffects &Out);
+/// Forwards a part of the response body with its offset.
 void forwardBody(AgentState &State, const EndpointBody &Body,
                  AgentEffects &Out);
+/// Ends the attempt after a complete response and tells the entry its length.
 void completeAttempt(AgentState &State, const AttemptKey &Key, TimePoint Now,
                      AgentEffects &Out);
+/// Ends the attempt after a failed exchange: as not run when the request was
+/// never sent, else as failed.
 void failAttempt(AgentState &State, const ExchangeFailed &Failure,
                  TimePoint Now, AgentEffects &Out);
 /// Confirms running attempts to their entries when due, and drops recent
--- a/agent/agent_state.cpp
+++ b/agent/agent_state.cpp
@@ -179,8 +179,8 @@
     beginStop(State, Now);
   else
     handleTick(State, Now, out);
-  // Response heads and body parts do not trigger it: at most, a head ends its
-  // attempt (unknown row), and the next event takes that into account.
+  // Response heads and body parts need no reconciliation: at most, a head ends
+  // its attempt (unknown row), and the next event takes that into account.
   bool isResponsePart = std::holds_alternative<EndpointBody>(Event) ||
                         std::holds_alternative<EndpointHead>(Event);
   if (!isResponsePart)
--- a/agent/agent_state.h
+++ b/agent/agent_state.h
@@ -105,7 +105,7 @@
   std::map<std::string, OpenOrder> Orders; ///< By row.
   std::map<AttemptKey, ActiveAttempt> Attempts;
   std::map<AttemptKey, EndedAttempt> Ended;
-  std::deque<AttemptKey> EndedOrder;
+  std::deque<AttemptKey> EndedKeys; ///< Keys of Ended, oldest first.
   std::deque<RecentFailure> Failures;
   /// Deaths that the control leader has not yet recorded, by NAME/INCARNATION.
   std::map<std::string, wire::DeathReport> Deaths;
@@ -129,6 +129,7 @@
 };
 /// The endpoint's port refuses connections: its process has ended.
 struct EndpointGone {};
+/// The head of a response has arrived.
 struct EndpointHead {
   AttemptKey Key;
   unsigned Status = 0;
@@ -146,10 +147,11 @@
   AttemptKey Key;
   bool WasSent = true; ///< The endpoint may have received the request.
 };
+/// An order has ended or its connection has failed.
 struct OrderResult {
   std::string Row;
   uint64_t Fence = 0;
-  bool IsDone = false;
+  bool IsSuccess = false;
   bool IsAnswered = true; ///< False: the endpoint may still be executing it.
 };
 struct AgentStop {};
--- a/agent/attempts.cpp
+++ b/agent/attempts.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Interval at which running attempts are confirmed to their entries.
-constexpr Millis ProgressPeriod{800};
+constexpr Millis ProgressInterval{800};
 /// A request whose exchange failed at most this long before the endpoint's
 /// death is reported as running at the death.
 constexpr Millis DeathWindow{3000};
@@ -39,12 +39,12 @@
 void recordEnd(AgentState &State, const AttemptKey &Key,
                wire::AttemptOutcome Outcome) {
   if (!State.Ended.contains(Key))
-    State.EndedOrder.push_back(Key);
+    State.EndedKeys.push_back(Key);
   State.Ended[Key] = {Outcome};
-  if (State.EndedOrder.size() <= MaxEndedAttempts)
+  if (State.EndedKeys.size() <= MaxEndedAttempts)
     return;
-  State.Ended.erase(State.EndedOrder.front());
-  State.EndedOrder.pop_front();
+  State.Ended.erase(State.EndedKeys.front());
+  State.EndedKeys.pop_front();
 }
 
 /// True when the entry's view lease had expired by the time this attempt
@@ -65,7 +65,7 @@
                      [](const auto &it) { return it.second.IsExclusive; });
 }
 
-/// Why the replica cannot take work; empty when it can.
+/// Reason why the row cannot serve the attempt here; empty when it can.
 std::string checkReplica(const AgentState &State,
                          const wire::Attempt &Attempt) {
   if (!State.Options.Service.empty())
@@ -132,7 +132,7 @@
   active.Row = Attempt.row();
   active.Digest = Attempt.digest();
   active.IsExclusive = Attempt.alone();
-  active.NextProgress = Now + ProgressPeriod;
+  active.NextProgress = Now + ProgressInterval;
   State.Attempts[key] = std::move(active);
   State.Rows[Attempt.row()].LastUse = Now;
   Out.push_back(StartExchange{key, Attempt});
@@ -231,7 +231,7 @@
   for (auto &[key, attempt] : State.Attempts) {
     if (!isPast(attempt.NextProgress, Now))
       continue;
-    attempt.NextProgress = Now + ProgressPeriod;
+    attempt.NextProgress = Now + ProgressInterval;
     State.Rows[attempt.Row].LastUse = Now;
     replyOutcome(Out, attempt.ReplyAddress, key, wire::ATTEMPT_NONE, "running");
   }
--- a/agent/orders.cpp
+++ b/agent/orders.cpp
@@ -168,7 +168,7 @@
   row.LastOrderEndedAt = Now;
   row.IsUncertain = !Result.IsAnswered;
   bool isLoad = order->second.Kind == OrderKind::Load;
-  if (Result.IsDone) {
+  if (Result.IsSuccess) {
     row.IsLoaded = isLoad;
     row.LastUse = Now;
   } else if (isLoad && Result.IsAnswered) {
--- a/engine_agent/engine_agent_shell.cpp
+++ b/engine_agent/engine_agent_shell.cpp
@@ -281,7 +281,7 @@
               {"sequence", std::to_string(Planned.ExpectedSequence)},
               {"order", std::to_string(self->State.HighestOrder)},
               {"status", IsComplete ? std::to_string(*status) : "none"}});
-    // The engine's state shows the result of the engineCommand.
+    // The engine's state shows the result of the command.
     self->poll();
   };
   HttpCalls callbacks;
