--- a/agent/agent_parts.h
+++ b/agent/agent_parts.h
@@ -1,5 +1,6 @@
 /// \file
-/// Internal functions of the agent state machine, shared by its source files.
+/// Internal functions of the agent state machine, shared by its source files
+/// and used by the tests' fleet driver.
 #ifndef SASSAFRAS_AGENT_AGENT_PARTS_H
 #define SASSAFRAS_AGENT_AGENT_PARTS_H
 
@@ -11,7 +12,8 @@
 
 /// Reconciles the endpoint with the fleet view: orders the loads and unloads
 /// that the replicas of this endpoint need and unloads unassigned rows. Does
-/// nothing for a plain service.
+/// nothing for a plain service. While no leader confirms the view, it only
+/// unloads rows after a long idle time.
 void reconcileReplicas(AgentState &State, TimePoint Now, AgentEffects &Out);
 /// Stores the endpoint's report and updates the rows that have no open order
 /// and had none within the report lag.
