--- a/tests/fleet_run/fleet_driver.cpp
+++ b/tests/fleet_run/fleet_driver.cpp
@@ -525,7 +525,7 @@
     transmit(Node.Name, message->Address, std::move(message->Message));
   else if (auto *start = std::get_if<StartExchange>(&Effect))
     startEngineRun(Node, *start);
-  else if (auto *order = std::get_if<GiveOrder>(&Effect))
+  else if (auto *order = std::get_if<SendOrder>(&Effect))
     obeyOrder(Node, *order);
 }
 
@@ -535,7 +535,7 @@
   if (!Node.Engine.IsUp) {
     after(Millis(1), [this, name, key] {
       whenAwake(name, [this, name, key] {
-        stepOf(Agents[name], EndpointBroken{key, false});
+        stepOf(Agents[name], ExchangeFailed{key, false});
       });
     });
     return;
@@ -579,7 +579,7 @@
   size_t half = answer.size() / 2;
   after(first, [pass, key] { pass(EndpointHead{key, 200, {}}); });
   if (chance(BreakShare)) {
-    after(first + Millis(5), [pass, key] { pass(EndpointBroken{key, true}); });
+    after(first + Millis(5), [pass, key] { pass(ExchangeFailed{key, true}); });
     return;
   }
   after(first + Millis(5), [pass, key, answer, half] {
@@ -591,7 +591,7 @@
   after(first + Millis(10), [pass, key] { pass(EndpointEnd{key}); });
 }
 
-void FleetDriver::obeyOrder(AgentNode &Node, const GiveOrder &Order) {
+void FleetDriver::obeyOrder(AgentNode &Node, const SendOrder &Order) {
   std::string name = Node.Name;
   uint64_t engine = Node.Engine.Incarnation;
   uint64_t agent = Processes[name].Incarnation;
@@ -601,8 +601,8 @@
     whenAwake(name, [=, this] {
       if (Processes[name].Incarnation == agent &&
           Agents[name].Engine.Incarnation == engine)
-        stepOf(Agents[name], OrderDone{Order.Row, Order.Fence,
-                                       IsDone && isAnswered, isAnswered});
+        stepOf(Agents[name], OrderResult{Order.Row, Order.Fence,
+                                         IsDone && isAnswered, isAnswered});
     });
   };
   after(between(0, 5), [this, name, engine, Order, answer] {
@@ -661,7 +661,7 @@
       bool isListed =
           listed && listed->engine_incarnation() == node.Engine.Incarnation &&
           node.State.IsEndpointUp && isConfirmed(node.State.View, Now) &&
-          listStrangers(node.State).empty() && node.State.Orders.empty();
+          listUnassignedRows(node.State).empty() && node.State.Orders.empty();
       bool isReported = node.State.Rows.contains(row);
       if (!isListed || !isReported || findReplica(fleet.Items, name, row))
         continue;
