--- a/bench/site.cpp
+++ b/bench/site.cpp
@@ -244,7 +244,7 @@
       else
         transmit(state.Options.Name, message->Address,
                  std::move(message->Message));
-    } else if (auto *head = std::get_if<AnswerHead>(&it)) {
+    } else if (auto *head = std::get_if<ResponseHead>(&it)) {
       size_t index = ArrivalOf.at(head->Id);
       std::chrono::duration<double> wait = Now - Arrivals[index].At;
       Outcomes[index].Wait = wait.count();
--- a/entry/answering.cpp
+++ b/entry/answering.cpp
@@ -111,8 +111,8 @@
 
 void passHead(RequestState &Request, EntryEffects &Out) {
   Request.IsHeadSent = true;
-  Out.push_back(AnswerHead{Request.Caller.Id, Request.Status, Request.Headers,
-                           Request.Caller.IsStream});
+  Out.push_back(ResponseHead{Request.Caller.Id, Request.Status, Request.Headers,
+                             Request.Caller.IsStream});
 }
 
 uint64_t countEvents(std::string_view Bytes) {
--- a/entry/entry_shell.cpp
+++ b/entry/entry_shell.cpp
@@ -200,7 +200,7 @@
 void EntryShell::perform(EntryEffect &Effect) {
   if (auto *message = std::get_if<EntrySend>(&Effect)) {
     Peers->send(message->Address, std::move(message->Message));
-  } else if (auto *head = std::get_if<AnswerHead>(&Effect)) {
+  } else if (auto *head = std::get_if<ResponseHead>(&Effect)) {
     auto fields = toFields(head->Headers);
     fields.push_back({"x-request-id", head->Id});
     if (auto exchange = exchangeOf(head->Id))
--- a/entry/entry_state.h
+++ b/entry/entry_state.h
@@ -160,7 +160,7 @@
   wire::Envelope Message;
 };
 /// Start of an answer; its length follows by counting unless it is known.
-struct AnswerHead {
+struct ResponseHead {
   std::string Id;
   unsigned Status = 200;
   std::vector<HttpHeader> Headers;
@@ -195,7 +195,7 @@
 /// Everything is finished: the process may exit.
 struct EntryExit {};
 using EntryEffect =
-    std::variant<EntrySend, AnswerHead, AnswerBody, AnswerEnd, AnswerRefusal,
+    std::variant<EntrySend, ResponseHead, AnswerBody, AnswerEnd, AnswerRefusal,
                  AnswerAbort, CountEvent, ObserveCold, EntryExit>;
 using EntryEffects = std::vector<EntryEffect>;
 
--- a/tests/fleet_run/fleet_driver.cpp
+++ b/tests/fleet_run/fleet_driver.cpp
@@ -460,7 +460,7 @@
   for (EntryEffect &it : effects) {
     if (auto *message = std::get_if<EntrySend>(&it)) {
       transmit(Node.Name, message->Address, std::move(message->Message));
-    } else if (auto *head = std::get_if<AnswerHead>(&it)) {
+    } else if (auto *head = std::get_if<ResponseHead>(&it)) {
       Callers[head->Id].HasHead = true;
     } else if (auto *body = std::get_if<AnswerBody>(&it)) {
       Callers[body->Id].Got += body->Bytes;
