--- a/entry/answering.cpp
+++ b/entry/answering.cpp
@@ -145,7 +145,7 @@
     Request.Held.erase(0, Request.Held.size() - HeldTail);
   if (!Request.IsHeadSent)
     passHead(Request, Out);
-  Out.push_back(AnswerBody{Request.Caller.Id, std::move(Bytes)});
+  Out.push_back(ResponseBody{Request.Caller.Id, std::move(Bytes)});
 }
 
 bool isComplete(const RequestState &Request) {
@@ -308,7 +308,7 @@
   if (!Request.IsHeadSent && !Request.IsCallerGone) {
     passHead(Request, Out);
     if (!Request.Held.empty())
-      Out.push_back(AnswerBody{id, Request.Held});
+      Out.push_back(ResponseBody{id, Request.Held});
   }
   if (Request.IsCallerGone) {
     ++State.Counts.Cancelled;
--- a/entry/entry_shell.cpp
+++ b/entry/entry_shell.cpp
@@ -205,7 +205,7 @@
     fields.push_back({"x-request-id", head->Id});
     if (auto exchange = exchangeOf(head->Id))
       exchange->start(head->Status, std::move(fields));
-  } else if (auto *body = std::get_if<AnswerBody>(&Effect)) {
+  } else if (auto *body = std::get_if<ResponseBody>(&Effect)) {
     if (auto exchange = exchangeOf(body->Id))
       exchange->write(std::move(body->Bytes));
   } else if (auto *end = std::get_if<AnswerEnd>(&Effect)) {
--- a/entry/entry_state.h
+++ b/entry/entry_state.h
@@ -166,7 +166,7 @@
   std::vector<HttpHeader> Headers;
   bool IsStream = false;
 };
-struct AnswerBody {
+struct ResponseBody {
   std::string Id;
   std::string Bytes;
 };
@@ -194,9 +194,9 @@
 };
 /// Everything is finished: the process may exit.
 struct EntryExit {};
-using EntryEffect =
-    std::variant<EntrySend, ResponseHead, AnswerBody, AnswerEnd, AnswerRefusal,
-                 AnswerAbort, CountEvent, ObserveCold, EntryExit>;
+using EntryEffect = std::variant<EntrySend, ResponseHead, ResponseBody,
+                                 AnswerEnd, AnswerRefusal, AnswerAbort,
+                                 CountEvent, ObserveCold, EntryExit>;
 using EntryEffects = std::vector<EntryEffect>;
 
 /// Takes one event at \p Now.
--- a/tests/fleet_run/fleet_driver.cpp
+++ b/tests/fleet_run/fleet_driver.cpp
@@ -462,7 +462,7 @@
       transmit(Node.Name, message->Address, std::move(message->Message));
     } else if (auto *head = std::get_if<ResponseHead>(&it)) {
       Callers[head->Id].HasHead = true;
-    } else if (auto *body = std::get_if<AnswerBody>(&it)) {
+    } else if (auto *body = std::get_if<ResponseBody>(&it)) {
       Callers[body->Id].Got += body->Bytes;
     } else if (auto *end = std::get_if<AnswerEnd>(&it)) {
       finish(end->Id);
