--- a/entry/answering.cpp
+++ b/entry/answering.cpp
@@ -313,7 +313,7 @@
   if (Request.IsCallerGone) {
     ++State.Counts.Cancelled;
   } else {
-    Out.push_back(AnswerEnd{id});
+    Out.push_back(ResponseEnd{id});
     ++State.Counts.Answered;
     countEvent(Out, "answered_total", "tenant=\"" + Request.Tenant + "\"");
   }
--- a/entry/entry_shell.cpp
+++ b/entry/entry_shell.cpp
@@ -208,7 +208,7 @@
   } else if (auto *body = std::get_if<ResponseBody>(&Effect)) {
     if (auto exchange = exchangeOf(body->Id))
       exchange->write(std::move(body->Bytes));
-  } else if (auto *end = std::get_if<AnswerEnd>(&Effect)) {
+  } else if (auto *end = std::get_if<ResponseEnd>(&Effect)) {
     if (auto exchange = takeExchange(end->Id))
       exchange->finish();
   } else if (auto *refusal = std::get_if<AnswerRefusal>(&Effect)) {
--- a/entry/entry_state.h
+++ b/entry/entry_state.h
@@ -171,7 +171,7 @@
   std::string Bytes;
 };
 /// The whole answer was passed on.
-struct AnswerEnd {
+struct ResponseEnd {
   std::string Id;
 };
 /// No answer: an error with a reason. Nothing was passed on before.
@@ -195,7 +195,7 @@
 /// Everything is finished: the process may exit.
 struct EntryExit {};
 using EntryEffect = std::variant<EntrySend, ResponseHead, ResponseBody,
-                                 AnswerEnd, AnswerRefusal, AnswerAbort,
+                                 ResponseEnd, AnswerRefusal, AnswerAbort,
                                  CountEvent, ObserveCold, EntryExit>;
 using EntryEffects = std::vector<EntryEffect>;
 
--- a/tests/fleet_run/fleet_driver.cpp
+++ b/tests/fleet_run/fleet_driver.cpp
@@ -464,7 +464,7 @@
       Callers[head->Id].HasHead = true;
     } else if (auto *body = std::get_if<ResponseBody>(&it)) {
       Callers[body->Id].Got += body->Bytes;
-    } else if (auto *end = std::get_if<AnswerEnd>(&it)) {
+    } else if (auto *end = std::get_if<ResponseEnd>(&it)) {
       finish(end->Id);
       CallerRecord &caller = Callers[end->Id];
       caller.IsAnswered = true;
