--- a/bench/site.cpp
+++ b/bench/site.cpp
@@ -252,7 +252,7 @@
     } else if (auto *cold = std::get_if<ObserveCold>(&it)) {
       std::chrono::duration<double> wait = cold->Wait;
       Result.ColdSeconds.push_back(wait.count());
-    } else if (auto *refusal = std::get_if<AnswerRefusal>(&it)) {
+    } else if (auto *refusal = std::get_if<RefusalResponse>(&it)) {
       Outcomes[ArrivalOf.at(refusal->Id)].IsRateRefused =
           refusal->Why.Reason == RefusalReason::RateExceeded;
     }
--- a/entry/admission.cpp
+++ b/entry/admission.cpp
@@ -103,7 +103,7 @@
   ++State.Counts.Refused;
   countEvent(Out, "refusals_total",
              "reason=\"" + std::string(nameOf(Why.Reason)) + "\"");
-  Out.push_back(AnswerRefusal{Id, std::move(Why)});
+  Out.push_back(RefusalResponse{Id, std::move(Why)});
 }
 
 void setClaim(RequestState &Request, const wire::TableRow &Row) {
--- a/entry/answering.cpp
+++ b/entry/answering.cpp
@@ -437,7 +437,7 @@
   if (request.IsHeadSent && !request.IsCallerGone)
     Out.push_back(AnswerAbort{Id, std::move(Why)});
   else if (!request.IsCallerGone)
-    Out.push_back(AnswerRefusal{Id, std::move(Why)});
+    Out.push_back(RefusalResponse{Id, std::move(Why)});
   closeRequest(State, Id, request.MayHaveRun ? keptCharge(request) : 0, Now);
 }
 
--- a/entry/entry_shell.cpp
+++ b/entry/entry_shell.cpp
@@ -51,7 +51,7 @@
   bool serveOwn(const HttpRequest &Request, HttpExchange &Exchange);
   void step(const EntryEvent &Event);
   void perform(EntryEffect &Effect);
-  void refuse(const AnswerRefusal &Effect);
+  void refuse(const RefusalResponse &Effect);
   void abort(const AnswerAbort &Effect);
   void listModels(HttpExchange &Exchange);
   void publish(TimePoint Now);
@@ -168,7 +168,7 @@
   post(CallerArrived{std::move(*caller)});
 }
 
-void EntryShell::refuse(const AnswerRefusal &Effect) {
+void EntryShell::refuse(const RefusalResponse &Effect) {
   auto exchange = takeExchange(Effect.Id);
   if (!exchange)
     return;
@@ -211,7 +211,7 @@
   } else if (auto *end = std::get_if<ResponseEnd>(&Effect)) {
     if (auto exchange = takeExchange(end->Id))
       exchange->finish();
-  } else if (auto *refusal = std::get_if<AnswerRefusal>(&Effect)) {
+  } else if (auto *refusal = std::get_if<RefusalResponse>(&Effect)) {
     refuse(*refusal);
   } else if (auto *broken = std::get_if<AnswerAbort>(&Effect)) {
     abort(*broken);
--- a/entry/entry_state.h
+++ b/entry/entry_state.h
@@ -175,7 +175,7 @@
   std::string Id;
 };
 /// No answer: an error with a reason. Nothing was passed on before.
-struct AnswerRefusal {
+struct RefusalResponse {
   std::string Id;
   Refusal Why;
 };
@@ -195,7 +195,7 @@
 /// Everything is finished: the process may exit.
 struct EntryExit {};
 using EntryEffect = std::variant<EntrySend, ResponseHead, ResponseBody,
-                                 ResponseEnd, AnswerRefusal, AnswerAbort,
+                                 ResponseEnd, RefusalResponse, AnswerAbort,
                                  CountEvent, ObserveCold, EntryExit>;
 using EntryEffects = std::vector<EntryEffect>;
 
--- a/tests/entry/test_entry_state.cpp
+++ b/tests/entry/test_entry_state.cpp
@@ -95,7 +95,7 @@
 
 std::optional<RefusalReason> refusalIn(const EntryEffects &Effects) {
   for (const EntryEffect &it : Effects)
-    if (auto *refusal = std::get_if<AnswerRefusal>(&it))
+    if (auto *refusal = std::get_if<RefusalResponse>(&it))
       return refusal->Why.Reason;
   return std::nullopt;
 }
--- a/tests/fleet_run/fleet_driver.cpp
+++ b/tests/fleet_run/fleet_driver.cpp
@@ -473,7 +473,7 @@
           charge.Tokens = static_cast<double>(usedBy(caller.Request));
       if (caller.Got != answerTo(caller.Request))
         fail("request " + end->Id + " got a wrong answer: " + caller.Got);
-    } else if (auto *refusal = std::get_if<AnswerRefusal>(&it)) {
+    } else if (auto *refusal = std::get_if<RefusalResponse>(&it)) {
       finish(refusal->Id);
       CallerRecord &caller = Callers[refusal->Id];
       caller.Why = refusal->Why;
