--- a/entry/answering.cpp
+++ b/entry/answering.cpp
@@ -435,7 +435,7 @@
   if (!request.Tenant.empty() && Why.Reason == RefusalReason::RateExceeded)
     countEvent(Out, "rate_refusals_total", "tenant=\"" + request.Tenant + "\"");
   if (request.IsHeadSent && !request.IsCallerGone)
-    Out.push_back(AnswerAbort{Id, std::move(Why)});
+    Out.push_back(ResponseAbort{Id, std::move(Why)});
   else if (!request.IsCallerGone)
     Out.push_back(RefusalResponse{Id, std::move(Why)});
   closeRequest(State, Id, request.MayHaveRun ? keptCharge(request) : 0, Now);
--- a/entry/entry_shell.cpp
+++ b/entry/entry_shell.cpp
@@ -52,7 +52,7 @@
   void step(const EntryEvent &Event);
   void perform(EntryEffect &Effect);
   void refuse(const RefusalResponse &Effect);
-  void abort(const AnswerAbort &Effect);
+  void abort(const ResponseAbort &Effect);
   void listModels(HttpExchange &Exchange);
   void publish(TimePoint Now);
   void beginStop();
@@ -185,7 +185,7 @@
                     printRefusal(Effect.Why, Effect.Id));
 }
 
-void EntryShell::abort(const AnswerAbort &Effect) {
+void EntryShell::abort(const ResponseAbort &Effect) {
   auto exchange = takeExchange(Effect.Id);
   if (!exchange)
     return;
@@ -213,7 +213,7 @@
       exchange->finish();
   } else if (auto *refusal = std::get_if<RefusalResponse>(&Effect)) {
     refuse(*refusal);
-  } else if (auto *broken = std::get_if<AnswerAbort>(&Effect)) {
+  } else if (auto *broken = std::get_if<ResponseAbort>(&Effect)) {
     abort(*broken);
   } else if (auto *count = std::get_if<CountEvent>(&Effect)) {
     Counts.count(count->Name, count->Labels);
--- a/entry/entry_state.h
+++ b/entry/entry_state.h
@@ -180,7 +180,7 @@
   Refusal Why;
 };
 /// The answer broke off after its head: end so that the caller can tell.
-struct AnswerAbort {
+struct ResponseAbort {
   std::string Id;
   Refusal Why;
 };
@@ -195,7 +195,7 @@
 /// Everything is finished: the process may exit.
 struct EntryExit {};
 using EntryEffect = std::variant<EntrySend, ResponseHead, ResponseBody,
-                                 ResponseEnd, RefusalResponse, AnswerAbort,
+                                 ResponseEnd, RefusalResponse, ResponseAbort,
                                  CountEvent, ObserveCold, EntryExit>;
 using EntryEffects = std::vector<EntryEffect>;
 
--- a/tests/fleet_run/fleet_driver.cpp
+++ b/tests/fleet_run/fleet_driver.cpp
@@ -479,7 +479,7 @@
       caller.Why = refusal->Why;
       if (refusal->Why.Ran == RanState::NotRun && caller.Runs > 0)
         fail("request " + refusal->Id + " ran but is said not to have run");
-    } else if (auto *broken = std::get_if<AnswerAbort>(&it)) {
+    } else if (auto *broken = std::get_if<ResponseAbort>(&it)) {
       finish(broken->Id);
     }
   }
