--- a/bench/site.cpp
+++ b/bench/site.cpp
@@ -249,7 +249,7 @@
       std::chrono::duration<double> wait = Now - Arrivals[index].At;
       Outcomes[index].Wait = wait.count();
       Outcomes[index].IsServed = true;
-    } else if (auto *cold = std::get_if<ObserveCold>(&it)) {
+    } else if (auto *cold = std::get_if<ObserveColdStart>(&it)) {
       std::chrono::duration<double> wait = cold->Wait;
       Result.ColdSeconds.push_back(wait.count());
     } else if (auto *refusal = std::get_if<RefusalResponse>(&it)) {
--- a/entry/answering.cpp
+++ b/entry/answering.cpp
@@ -199,7 +199,7 @@
   for (const wire::Header &it : Reply.headers())
     Request.Headers.push_back({it.name(), it.value()});
   if (Request.WasCold)
-    Out.push_back(ObserveCold{Now - Request.Arrived});
+    Out.push_back(ObserveColdStart{Now - Request.Arrived});
   assemble(State, Request, Now, Out);
 }
 
--- a/entry/entry_shell.cpp
+++ b/entry/entry_shell.cpp
@@ -217,7 +217,7 @@
     abort(*broken);
   } else if (auto *count = std::get_if<CountEvent>(&Effect)) {
     Counts.count(count->Name, count->Labels);
-  } else if (auto *cold = std::get_if<ObserveCold>(&Effect)) {
+  } else if (auto *cold = std::get_if<ObserveColdStart>(&Effect)) {
     Counts.observe("cold_start_seconds", cold->Wait);
   } else {
     IsDone = true;
--- a/entry/entry_state.h
+++ b/entry/entry_state.h
@@ -189,14 +189,14 @@
   std::string Name;
   std::string Labels;
 };
-struct ObserveCold {
+struct ObserveColdStart {
   Clock::duration Wait;
 };
 /// Everything is finished: the process may exit.
 struct EntryExit {};
 using EntryEffect = std::variant<EntrySend, ResponseHead, ResponseBody,
                                  ResponseEnd, RefusalResponse, ResponseAbort,
-                                 CountEvent, ObserveCold, EntryExit>;
+                                 CountEvent, ObserveColdStart, EntryExit>;
 using EntryEffects = std::vector<EntryEffect>;
 
 /// Takes one event at \p Now.
