--- a/entry/entry_shell.cpp
+++ b/entry/entry_shell.cpp
@@ -246,7 +246,7 @@
   set("refused", counts.Refused);
   set("failed", counts.Failed);
   set("cancelled", counts.Cancelled);
-  set("held", countHeld(State));
+  set("held", countPendingRequests(State));
   if (State.View.Version == ModelListVersion)
     return;
   boost::json::array models;
--- a/entry/entry_state.h
+++ b/entry/entry_state.h
@@ -203,7 +203,7 @@
 EntryEffects stepEntry(EntryState &State, const EntryEvent &Event,
                        TimePoint Now);
 /// Requests without an outcome yet.
-inline uint64_t countHeld(const EntryState &State) {
+inline uint64_t countPendingRequests(const EntryState &State) {
   return State.Requests.size();
 }
 /// True when the balancer may send callers here.
--- a/tests/fleet_run/fleet_driver.cpp
+++ b/tests/fleet_run/fleet_driver.cpp
@@ -681,7 +681,8 @@
 void FleetDriver::checkEntry(const EntryNode &Node) {
   const OutcomeCounts &counts = Node.State.Counts;
   if (counts.Accepted != counts.Answered + counts.Refused + counts.Failed +
-                             counts.Cancelled + countHeld(Node.State))
+                             counts.Cancelled +
+                             countPendingRequests(Node.State))
     fail("outcomes of " + Node.Name + " do not add up");
   for (const auto &[id, request] : Node.State.Requests)
     if (request.Charged > 0 && SeenCharges.insert(id).second)
