--- a/entry/admission.cpp
+++ b/entry/admission.cpp
@@ -73,14 +73,15 @@
 std::optional<Refusal> checkRate(const EntryState &State,
                                  const RequestState &Request,
                                  const wire::TableRow &Row) {
-  const wire::TableRow *tenant = findRow(State.View.Items, Request.Tenant);
+  const wire::TableRow *tenant =
+      findRow(State.View.Items, Request.Organisation);
   if (!tenant || Request.Caller.Cost == 0)
     return std::nullopt;
   if (Request.Caller.Cost > tenant->burst())
     return refusal(RefusalReason::CostAboveBurst,
                    "cost " + std::to_string(Request.Caller.Cost) +
                        " tokens, burst " + std::to_string(tenant->burst()));
-  auto queue = State.Queues.find(Request.Tenant);
+  auto queue = State.Queues.find(Request.Organisation);
   if (queue == State.Queues.end())
     return std::nullopt;
   uint64_t ahead = Request.Caller.Cost;
@@ -110,11 +111,11 @@
   const CallerRequest &caller = Request.Caller;
   Request.ClaimWindowMs = Row.repeat_window_ms();
   if (!caller.IdempotencyKey.empty()) {
-    Request.ClaimDigest =
-        digestOf({"key", Request.Tenant, Row.name(), caller.IdempotencyKey});
+    Request.ClaimDigest = digestOf(
+        {"key", Request.Organisation, Row.name(), caller.IdempotencyKey});
     return;
   }
-  Request.ClaimDigest = digestOf({"body", Request.Tenant, Row.name(),
+  Request.ClaimDigest = digestOf({"body", Request.Organisation, Row.name(),
                                   caller.Method, caller.Target, caller.Body});
 }
 
@@ -122,7 +123,7 @@
                          const std::string &Tenant, TimePoint Now) {
   RequestState request;
   request.Caller = Caller;
-  request.Tenant = Tenant;
+  request.Organisation = Tenant;
   request.Row = Row.name();
   request.Digest = digestOf({Tenant, Row.name(), Caller.Target, Caller.Body});
   request.IsRepeatable = Row.repeatable() || isSafeMethod(Caller.Method);
@@ -162,11 +163,12 @@
   const wire::TableRow *row = findRow(State.View.Items, Request.Row);
   if (!row)
     return false;
-  if (Request.Tenant.empty())
+  if (Request.Organisation.empty())
     return row->open();
   auto it = State.Index.TenantOfKey.find(Request.Caller.KeyHash);
-  return it != State.Index.TenantOfKey.end() && it->second == Request.Tenant &&
-         allowsTenant(*row, Request.Tenant);
+  return it != State.Index.TenantOfKey.end() &&
+         it->second == Request.Organisation &&
+         allowsTenant(*row, Request.Organisation);
 }
 
 bool isQuarantined(const EntryState &State, const RequestState &Request,
--- a/entry/answering.cpp
+++ b/entry/answering.cpp
@@ -293,7 +293,7 @@
 /// been unconfirmed for too long to know.
 bool mustCut(const EntryState &State, const RequestState &Request,
              TimePoint Now) {
-  if (Request.Tenant.empty())
+  if (Request.Organisation.empty())
     return false;
   if (!isConfirmed(State.View, Now))
     return isPast(State.View.LeaseEnd + timing::AnswerGrace, Now);
@@ -315,7 +315,8 @@
   } else {
     Out.push_back(ResponseEnd{id});
     ++State.Counts.Answered;
-    countEvent(Out, "answered_total", "tenant=\"" + Request.Tenant + "\"");
+    countEvent(Out, "answered_total",
+               "tenant=\"" + Request.Organisation + "\"");
   }
   State.RetryBudget = std::min(MostRetryBudget, State.RetryBudget + RetryShare);
   closeRequest(State, id, usedTokens(Request), Now);
@@ -432,8 +433,10 @@
     ++(isFailure ? State.Counts.Failed : State.Counts.Refused);
   countEvent(Out, "refusals_total",
              "reason=\"" + std::string(nameOf(Why.Reason)) + "\"");
-  if (!request.Tenant.empty() && Why.Reason == RefusalReason::RateExceeded)
-    countEvent(Out, "rate_refusals_total", "tenant=\"" + request.Tenant + "\"");
+  if (!request.Organisation.empty() &&
+      Why.Reason == RefusalReason::RateExceeded)
+    countEvent(Out, "rate_refusals_total",
+               "tenant=\"" + request.Organisation + "\"");
   if (request.IsHeadSent && !request.IsCallerGone)
     Out.push_back(ResponseAbort{Id, std::move(Why)});
   else if (!request.IsCallerGone)
@@ -447,8 +450,8 @@
   endAttempt(State, request);
   dequeue(State, request);
   if (request.Charged > UsedTokens)
-    returnCharge(State.Tokens, request.Tenant, request.Charged - UsedTokens,
-                 request.ChargedAt, Now);
+    returnCharge(State.Tokens, request.Organisation,
+                 request.Charged - UsedTokens, request.ChargedAt, Now);
   State.Requests.erase(Id);
 }
 
--- a/entry/claims.cpp
+++ b/entry/claims.cpp
@@ -27,7 +27,7 @@
   if (Request.Stage == RequestStage::Claiming) {
     wire::ClaimRequest &claim = *command.mutable_claim();
     claim.set_digest(Request.ClaimDigest);
-    claim.set_tenant(Request.Tenant);
+    claim.set_tenant(Request.Organisation);
     claim.set_request_id(Request.Caller.Id);
     claim.set_window_ms(Request.ClaimWindowMs);
     return command;
--- a/entry/dispatch.cpp
+++ b/entry/dispatch.cpp
@@ -137,11 +137,12 @@
 /// Charges the request unless an earlier attempt was charged. False, with
 /// the wish noted, when the tenant's tokens are not at hand.
 bool charge(EntryState &State, RequestState &Request, TimePoint Now) {
-  bool isFree = Request.Tenant.empty() || Request.Caller.Cost == 0;
+  bool isFree = Request.Organisation.empty() || Request.Caller.Cost == 0;
   if (isFree || Request.Charged > 0)
     return true;
-  if (!spendTokens(State.Tokens, Request.Tenant, Request.Caller.Cost, Now)) {
-    wishTokens(State.Tokens, Request.Tenant, Request.Caller.Cost);
+  if (!spendTokens(State.Tokens, Request.Organisation, Request.Caller.Cost,
+                   Now)) {
+    wishTokens(State.Tokens, Request.Organisation, Request.Caller.Cost);
     return false;
   }
   Request.Charged = Request.Caller.Cost;
@@ -153,7 +154,7 @@
 
 StartResult tryStart(EntryState &State, RequestState &Request, TimePoint Now,
                      EntryEffects &Out) {
-  if (!Request.Tenant.empty() && !isConfirmed(State.View, Now))
+  if (!Request.Organisation.empty() && !isConfirmed(State.View, Now))
     return StartResult::NoView;
   // The key may have gone since the request was admitted.
   if (!isKeyValid(State, Request))
@@ -227,11 +228,11 @@
   if (Request.Stage == RequestStage::Claiming)
     why.Reason = Request.HasTwin ? RefusalReason::Duplicate
                                  : RefusalReason::ClaimUnavailable;
-  else if (!Request.Tenant.empty() && !isConfirmed(State.View, Now))
+  else if (!Request.Organisation.empty() && !isConfirmed(State.View, Now))
     why.Reason = RefusalReason::KeyUnconfirmed;
   else if (State.Index.EndpointsOfRow.contains(Request.Row))
     why.Reason = Request.Charged == 0 && Request.Caller.Cost > 0 &&
-                         !Request.Tenant.empty()
+                         !Request.Organisation.empty()
                      ? RefusalReason::RateExceeded
                      : RefusalReason::DeadlineUnreachable;
   return why;
@@ -241,7 +242,7 @@
 
 void enqueue(EntryState &State, RequestState &Request, bool AtFront) {
   Request.Stage = RequestStage::Queued;
-  auto &queue = State.Queues[Request.Tenant].Requests;
+  auto &queue = State.Queues[Request.Organisation].Requests;
   if (AtFront)
     queue.push_front(Request.Caller.Id);
   else
@@ -256,7 +257,7 @@
 }
 
 void dequeue(EntryState &State, const RequestState &Request) {
-  auto queue = State.Queues.find(Request.Tenant);
+  auto queue = State.Queues.find(Request.Organisation);
   if (queue != State.Queues.end())
     std::erase(queue->second.Requests, Request.Caller.Id);
 }
--- a/entry/entry_state.cpp
+++ b/entry/entry_state.cpp
@@ -39,7 +39,7 @@
   if (waited < Row.oldest_wait_ms())
     return;
   Row.set_oldest_wait_ms(waited);
-  Row.set_tenant(Request.Tenant);
+  Row.set_tenant(Request.Organisation);
 }
 
 std::map<std::string, wire::ModelDemand> sumDemand(const EntryState &State,
--- a/entry/entry_state.h
+++ b/entry/entry_state.h
@@ -45,7 +45,7 @@
 
 struct RequestState {
   CallerRequest Caller;
-  std::string Tenant; ///< Empty on open routes.
+  std::string Organisation; ///< Empty on open routes.
   std::string Row;
   std::string Digest;
   std::string ClaimDigest; ///< Set when the request must not be repeated.
--- a/tests/fleet_run/fleet_driver.cpp
+++ b/tests/fleet_run/fleet_driver.cpp
@@ -686,8 +686,8 @@
     fail("outcomes of " + Node.Name + " do not add up");
   for (const auto &[id, request] : Node.State.Requests)
     if (request.Charged > 0 && SeenCharges.insert(id).second)
-      Charges.push_back(
-          {Now, request.Tenant, id, static_cast<double>(request.Charged)});
+      Charges.push_back({Now, request.Organisation, id,
+                         static_cast<double>(request.Charged)});
   uint64_t &newest = NewestView[Node.Name];
   if (Node.State.View.Version < newest)
     fail("view of " + Node.Name + " went back");
