--- a/entry/admission.cpp
+++ b/entry/admission.cpp
@@ -1,4 +1,4 @@
-#include "entry/entry_parts.h"
+#include "entry/entry_internal.h"
 
 #include "core/hash.h"
 #include "fleet/table.h"
@@ -9,7 +9,7 @@
 
 constexpr std::string_view ModelPrefix = "/v1/";
 
-Refusal refusal(RefusalReason Reason, std::string Detail = {}) {
+Refusal makeRefusal(RefusalReason Reason, std::string Detail = {}) {
   Refusal why{Reason, RanState::NotRun, std::chrono::seconds(0),
               std::move(Detail)};
   if (isTransient(Reason))
@@ -17,7 +17,7 @@
   return why;
 }
 
-bool isUnder(const std::string &Path, const std::string &Prefix) {
+bool isUnderPathPrefix(const std::string &Path, const std::string &Prefix) {
   if (!Path.starts_with(Prefix))
     return false;
   return Path.size() == Prefix.size() || Prefix.ends_with('/') ||
@@ -25,8 +25,8 @@
 }
 
 /// Row that the request is for, or null.
-const wire::TableRow *findTarget(const EntryState &State,
-                                 const CallerRequest &Caller) {
+const wire::TableRow *findTargetRow(const EntryState &State,
+                                    const CallerRequest &Caller) {
   if (Caller.Path.starts_with(ModelPrefix)) {
     const wire::TableRow *row = findRow(State.View.Items, Caller.Row);
     bool isModel = row && (row->kind() == wire::ROW_MODEL ||
@@ -36,7 +36,7 @@
   const std::string *best = nullptr;
   size_t longest = 0;
   for (const auto &[path, name] : State.Index.Services) {
-    if (!isUnder(Caller.Path, path) || path.size() < longest)
+    if (!isUnderPathPrefix(Caller.Path, path) || path.size() < longest)
       continue;
     longest = path.size();
     best = &name;
@@ -52,19 +52,19 @@
 std::optional<Refusal> checkKey(const EntryState &State,
                                 const wire::TableRow &Row,
                                 const CallerRequest &Caller,
-                                std::string &Tenant, TimePoint Now) {
+                                std::string &Organisation, TimePoint Now) {
   if (Row.open())
     return std::nullopt;
   if (Caller.KeyHash.empty())
-    return refusal(RefusalReason::KeyMissing);
+    return makeRefusal(RefusalReason::KeyMissing);
   if (!isConfirmed(State.View, Now))
-    return refusal(RefusalReason::KeyUnconfirmed);
-  auto it = State.Index.TenantOfKey.find(Caller.KeyHash);
-  if (it == State.Index.TenantOfKey.end())
-    return refusal(RefusalReason::KeyUnknown);
-  Tenant = it->second;
-  if (!allowsTenant(Row, Tenant))
-    return refusal(RefusalReason::TenantNotAllowed);
+    return makeRefusal(RefusalReason::KeyUnconfirmed);
+  auto it = State.Index.OrganisationByKeyHash.find(Caller.KeyHash);
+  if (it == State.Index.OrganisationByKeyHash.end())
+    return makeRefusal(RefusalReason::KeyUnknown);
+  Organisation = it->second;
+  if (!allowsTenant(Row, Organisation))
+    return makeRefusal(RefusalReason::TenantNotAllowed);
   return std::nullopt;
 }
 
@@ -73,41 +73,42 @@
 std::optional<Refusal> checkRate(const EntryState &State,
                                  const RequestState &Request,
                                  const wire::TableRow &Row) {
-  const wire::TableRow *tenant =
+  const wire::TableRow *organisation =
       findRow(State.View.Items, Request.Organisation);
-  if (!tenant || Request.Caller.Cost == 0)
+  if (!organisation || Request.Caller.Cost == 0)
     return std::nullopt;
-  if (Request.Caller.Cost > tenant->burst())
-    return refusal(RefusalReason::CostAboveBurst,
-                   "cost " + std::to_string(Request.Caller.Cost) +
-                       " tokens, burst " + std::to_string(tenant->burst()));
+  if (Request.Caller.Cost > organisation->burst())
+    return makeRefusal(RefusalReason::CostAboveBurst,
+                       "cost " + std::to_string(Request.Caller.Cost) +
+                           " tokens, burst " +
+                           std::to_string(organisation->burst()));
   auto queue = State.Queues.find(Request.Organisation);
   if (queue == State.Queues.end())
     return std::nullopt;
-  uint64_t ahead = Request.Caller.Cost;
+  uint64_t cumulativeCost = Request.Caller.Cost;
   for (const std::string &it : queue->second.Requests)
-    ahead += State.Requests.at(it).Caller.Cost;
-  if (ahead <= tenant->burst())
+    cumulativeCost += State.Requests.at(it).Caller.Cost;
+  if (cumulativeCost <= organisation->burst())
     return std::nullopt;
-  uint64_t rate = std::max<uint64_t>(tenant->rate(), 1);
-  uint64_t waitMs = (ahead - tenant->burst()) * 1000 / rate;
+  uint64_t rate = std::max<uint64_t>(organisation->rate(), 1);
+  uint64_t waitMs = (cumulativeCost - organisation->burst()) * 1000 / rate;
   if (waitMs <= Row.longest_wait_ms())
     return std::nullopt;
-  Refusal why = refusal(RefusalReason::RateExceeded);
+  Refusal why = makeRefusal(RefusalReason::RateExceeded);
   why.RetryAfter =
       std::chrono::seconds((waitMs - Row.longest_wait_ms()) / 1000 + 1);
   return why;
 }
 
-void refuseArrival(EntryState &State, const std::string &Id, Refusal Why,
-                   EntryEffects &Out) {
+void refuseOnArrival(EntryState &State, const std::string &Id, Refusal Why,
+                     EntryEffects &Out) {
   ++State.Counts.Refused;
-  countEvent(Out, "refusals_total",
-             "reason=\"" + std::string(nameOf(Why.Reason)) + "\"");
+  incrementCounter(Out, "refusals_total",
+                   "reason=\"" + std::string(nameOf(Why.Reason)) + "\"");
   Out.push_back(RefusalResponse{Id, std::move(Why)});
 }
 
-void setClaim(RequestState &Request, const wire::TableRow &Row) {
+void setClaimDigest(RequestState &Request, const wire::TableRow &Row) {
   const CallerRequest &caller = Request.Caller;
   Request.ClaimWindowMs = Row.repeat_window_ms();
   if (!caller.IdempotencyKey.empty()) {
@@ -119,15 +120,17 @@
                                   caller.Method, caller.Target, caller.Body});
 }
 
-RequestState makeRequest(const CallerRequest &Caller, const wire::TableRow &Row,
-                         const std::string &Tenant, TimePoint Now) {
+RequestState makeRequestState(const CallerRequest &Caller,
+                              const wire::TableRow &Row,
+                              const std::string &Organisation, TimePoint Now) {
   RequestState request;
   request.Caller = Caller;
-  request.Organisation = Tenant;
+  request.Organisation = Organisation;
   request.Row = Row.name();
-  request.Digest = digestOf({Tenant, Row.name(), Caller.Target, Caller.Body});
+  request.Digest =
+      digestOf({Organisation, Row.name(), Caller.Target, Caller.Body});
   request.IsRepeatable = Row.repeatable() || isSafeMethod(Caller.Method);
-  request.Arrived = Now;
+  request.ArrivedAt = Now;
   request.LongestWait = Millis(Row.longest_wait_ms());
   request.Deadline = Now + request.LongestWait;
   return request;
@@ -139,23 +142,24 @@
   ViewIndex &index = State.Index;
   if (index.Version == State.View.Version)
     return;
-  auto loadedSince = std::move(index.LoadedSince);
+  auto loadedSince = std::move(index.LoadedSinceByRow);
   index = ViewIndex();
   index.Version = State.View.Version;
   for (const wire::Item *it : State.View.Items.list("key/"))
-    index.TenantOfKey[it->key().key_hash()] = it->key().tenant();
+    index.OrganisationByKeyHash[it->key().key_hash()] = it->key().tenant();
   for (const wire::Replica *it : listReplicas(State.View.Items))
     if (it->phase() == wire::PHASE_LOADED)
-      index.EndpointsOfRow[it->row()].push_back(it->endpoint());
+      index.EndpointsByRow[it->row()].push_back(it->endpoint());
   for (const wire::Endpoint *it : listEndpoints(State.View.Items))
     if (it->is_service())
-      index.EndpointsOfRow[it->service()].push_back(it->name());
+      index.EndpointsByRow[it->service()].push_back(it->name());
   for (const wire::Item *it : State.View.Items.list("row/"))
     if (it->row().kind() == wire::ROW_SERVICE)
       index.Services.emplace_back(it->row().path(), it->row().name());
-  for (const auto &[row, endpoints] : index.EndpointsOfRow) {
+  for (const auto &[row, endpoints] : index.EndpointsByRow) {
     auto known = loadedSince.find(row);
-    index.LoadedSince[row] = known == loadedSince.end() ? Now : known->second;
+    index.LoadedSinceByRow[row] =
+        known == loadedSince.end() ? Now : known->second;
   }
 }
 
@@ -165,8 +169,8 @@
     return false;
   if (Request.Organisation.empty())
     return row->open();
-  auto it = State.Index.TenantOfKey.find(Request.Caller.KeyHash);
-  return it != State.Index.TenantOfKey.end() &&
+  auto it = State.Index.OrganisationByKeyHash.find(Request.Caller.KeyHash);
+  return it != State.Index.OrganisationByKeyHash.end() &&
          it->second == Request.Organisation &&
          allowsTenant(*row, Request.Organisation);
 }
@@ -181,42 +185,42 @@
 void admitRequest(EntryState &State, const CallerRequest &Caller, TimePoint Now,
                   EntryEffects &Out) {
   ++State.Counts.Accepted;
-  countEvent(Out, "requests_total");
+  incrementCounter(Out, "requests_total");
   if (State.IsStopping)
-    return refuseArrival(State, Caller.Id, refusal(RefusalReason::Stopping),
-                         Out);
+    return refuseOnArrival(State, Caller.Id,
+                           makeRefusal(RefusalReason::Stopping), Out);
   // Without any view even an open route is unknown.
   if (State.View.Version == 0)
-    return refuseArrival(State, Caller.Id,
-                         refusal(RefusalReason::KeyUnconfirmed), Out);
-  const wire::TableRow *row = findTarget(State, Caller);
+    return refuseOnArrival(State, Caller.Id,
+                           makeRefusal(RefusalReason::KeyUnconfirmed), Out);
+  const wire::TableRow *row = findTargetRow(State, Caller);
   if (!row)
-    return refuseArrival(State, Caller.Id, refusal(RefusalReason::RouteUnknown),
-                         Out);
-  std::string tenant;
-  if (auto why = checkKey(State, *row, Caller, tenant, Now))
-    return refuseArrival(State, Caller.Id, std::move(*why), Out);
-  RequestState request = makeRequest(Caller, *row, tenant, Now);
+    return refuseOnArrival(State, Caller.Id,
+                           makeRefusal(RefusalReason::RouteUnknown), Out);
+  std::string organisation;
+  if (auto why = checkKey(State, *row, Caller, organisation, Now))
+    return refuseOnArrival(State, Caller.Id, std::move(*why), Out);
+  RequestState request = makeRequestState(Caller, *row, organisation, Now);
   if (isQuarantined(State, request, Now))
-    return refuseArrival(State, Caller.Id, refusal(RefusalReason::Quarantined),
-                         Out);
-  if (State.Queues[tenant].Requests.size() >= MaxQueuedRequests)
-    return refuseArrival(State, Caller.Id, refusal(RefusalReason::QueueFull),
-                         Out);
+    return refuseOnArrival(State, Caller.Id,
+                           makeRefusal(RefusalReason::Quarantined), Out);
+  if (State.Queues[organisation].Requests.size() >= MaxQueuedRequests)
+    return refuseOnArrival(State, Caller.Id,
+                           makeRefusal(RefusalReason::QueueFull), Out);
   if (auto why = checkRate(State, request, *row)) {
-    return refuseArrival(State, Caller.Id, std::move(*why), Out);
+    return refuseOnArrival(State, Caller.Id, std::move(*why), Out);
   }
-  request.IsSuspect =
+  request.RunsAlone =
       State.View.Items.find(deathItemName(request.Digest)) != nullptr;
   ++State.Arrivals[request.Row];
-  RequestState &kept = State.Requests[Caller.Id] = std::move(request);
-  if (kept.IsRepeatable) {
-    enqueue(State, kept, false);
+  RequestState &stored = State.Requests[Caller.Id] = std::move(request);
+  if (stored.IsRepeatable) {
+    enqueue(State, stored, false);
     return;
   }
-  setClaim(kept, *row);
-  kept.Stage = RequestStage::Claiming;
-  proposeClaim(State, kept, Now, Out);
+  setClaimDigest(stored, *row);
+  stored.Stage = RequestStage::Claiming;
+  sendClaimProposal(State, stored, Now, Out);
 }
 
 } // namespace sassafras
--- a/entry/caller_reader.cpp
+++ b/entry/caller_reader.cpp
@@ -38,7 +38,7 @@
   return true;
 }
 
-std::string keyInHeaders(const std::vector<HttpField> &Fields) {
+std::string findKeyInHeaders(const std::vector<HttpField> &Fields) {
   for (std::string_view name : {"authorization", "x-api-key", "api-key"}) {
     std::string_view value = fieldOf(Fields, name);
     if (startsWithBearer(value))
@@ -50,13 +50,13 @@
 }
 
 /// Takes key parameters out of \p Target and returns the first one's value.
-std::string takeKeyParameter(std::string &Target) {
-  size_t mark = Target.find('?');
-  if (mark == std::string::npos)
+std::string extractKeyParameter(std::string &Target) {
+  size_t queryStart = Target.find('?');
+  if (queryStart == std::string::npos)
     return {};
   std::string key;
   std::string kept;
-  std::string_view rest = std::string_view(Target).substr(mark + 1);
+  std::string_view rest = std::string_view(Target).substr(queryStart + 1);
   while (!rest.empty()) {
     size_t n = std::min(rest.find('&'), rest.size());
     std::string_view part = rest.substr(0, n);
@@ -69,13 +69,14 @@
     else if (key.empty() && equals < part.size())
       key = std::string(part.substr(equals + 1));
   }
-  Target.resize(mark);
+  Target.resize(queryStart);
   if (!kept.empty())
     Target += "?" + kept;
   return key;
 }
 
-uint64_t numberIn(const json::object &Object, std::string_view Name) {
+uint64_t positiveIntegerField(const json::object &Object,
+                              std::string_view Name) {
   const json::value *it = Object.if_contains(Name);
   if (it && it->is_int64() && it->as_int64() > 0)
     return static_cast<uint64_t>(it->as_int64());
@@ -98,8 +99,9 @@
   Request.Row = std::string(model->as_string());
   const json::value *stream = object.if_contains("stream");
   Request.IsStream = stream && stream->is_bool() && stream->as_bool();
-  uint64_t output = numberIn(object, "max_tokens");
-  output = std::max(output, numberIn(object, "max_completion_tokens"));
+  uint64_t output = positiveIntegerField(object, "max_tokens");
+  output =
+      std::max(output, positiveIntegerField(object, "max_completion_tokens"));
   if (output == 0)
     output = DefaultOutputTokens;
   Request.Prompt = Request.Body.size() / BytesPerToken + 1;
@@ -109,8 +111,9 @@
 
 } // namespace
 
-std::optional<CallerRequest>
-readCaller(HttpRequest Request, const std::string &Salt, std::string &Problem) {
+std::optional<CallerRequest> parseCallerRequest(HttpRequest Request,
+                                                const std::string &Salt,
+                                                std::string &Problem) {
   CallerRequest caller;
   caller.Method = std::move(Request.Method);
   caller.Target = std::move(Request.Target);
@@ -119,8 +122,8 @@
     Problem = "the target is not a path";
     return std::nullopt;
   }
-  std::string parameter = takeKeyParameter(caller.Target);
-  std::string key = keyInHeaders(Request.Fields);
+  std::string parameter = extractKeyParameter(caller.Target);
+  std::string key = findKeyInHeaders(Request.Fields);
   if (key.empty())
     key = parameter;
   for (const HttpField &it : Request.Fields) {
@@ -146,7 +149,7 @@
   return caller;
 }
 
-std::string printRefusal(const Refusal &Why, const std::string &RequestId) {
+std::string formatRefusal(const Refusal &Why, const std::string &RequestId) {
   json::object error;
   error["reason"] = nameOf(Why.Reason);
   error["ran"] = nameOf(Why.Ran);
--- a/entry/caller_reader.h
+++ b/entry/caller_reader.h
@@ -18,11 +18,12 @@
 /// Turns \p Request into its form without a key; the key is hashed under
 /// \p Salt. Nothing, with the reason in \p Problem, when it is malformed.
 /// Thread safe.
-std::optional<CallerRequest>
-readCaller(HttpRequest Request, const std::string &Salt, std::string &Problem);
+std::optional<CallerRequest> parseCallerRequest(HttpRequest Request,
+                                                const std::string &Salt,
+                                                std::string &Problem);
 
 /// JSON body of a refusal. Thread safe.
-std::string printRefusal(const Refusal &Why, const std::string &RequestId);
+std::string formatRefusal(const Refusal &Why, const std::string &RequestId);
 
 } // namespace sassafras
 
--- a/entry/claims.cpp
+++ b/entry/claims.cpp
@@ -1,4 +1,4 @@
-#include "entry/entry_parts.h"
+#include "entry/entry_internal.h"
 
 #include "core/timing.h"
 #include "fleet/fleet_state.h"
@@ -13,7 +13,7 @@
 constexpr std::string_view OutcomePrefix = "outcome/";
 constexpr std::string_view ReleasePrefix = "release/";
 /// How often a request asks whether the one that holds its claim ended.
-constexpr Millis TwinPoll{1000};
+constexpr Millis ClaimHolderPollInterval{1000};
 
 std::string contentTypeOf(const RequestState &Request) {
   for (const HttpHeader &it : Request.Headers)
@@ -38,13 +38,13 @@
   outcome.set_status(Request.Status);
   outcome.set_content_type(contentTypeOf(Request));
   // A larger answer is not kept: a resend learns only that it ran.
-  if (Request.Held.size() <= MaxClaimBody)
-    outcome.set_body(Request.Held);
+  if (Request.BufferedBody.size() <= MaxClaimBody)
+    outcome.set_body(Request.BufferedBody);
   return command;
 }
 
 void sendRelease(EntryState &State, TimePoint Now, EntryEffects &Out) {
-  const wire::ClaimOutcome &release = State.Releases.front();
+  const wire::ClaimOutcome &release = State.PendingReleases.front();
   wire::Envelope message;
   wire::Proposal &proposal = *message.mutable_proposal();
   proposal.set_request_id(std::string(ReleasePrefix) + release.request_id());
@@ -54,40 +54,42 @@
 }
 
 /// The earlier request's recorded answer serves this one.
-void replayAnswer(EntryState &State, RequestState &Request,
-                  const wire::Claim &Claim, TimePoint Now, EntryEffects &Out) {
+void replayResponse(EntryState &State, RequestState &Request,
+                    const wire::Claim &Claim, TimePoint Now,
+                    EntryEffects &Out) {
   Request.Status = Claim.status();
-  Request.Held = Claim.body();
+  Request.BufferedBody = Claim.body();
   Request.Headers = {{"idempotent-replay", "true"}};
   if (!Claim.content_type().empty())
     Request.Headers.push_back({"content-type", Claim.content_type()});
   Request.HasHead = true;
-  completeAnswer(State, Request, Now, Out);
+  completeResponse(State, Request, Now, Out);
 }
 
-void takeDuplicate(EntryState &State, RequestState &Request,
-                   const wire::Claim &Claim, TimePoint Now, EntryEffects &Out) {
+void handleDuplicate(EntryState &State, RequestState &Request,
+                     const wire::Claim &Claim, TimePoint Now,
+                     EntryEffects &Out) {
   if (Claim.finished()) {
-    replayAnswer(State, Request, Claim, Now, Out);
+    replayResponse(State, Request, Claim, Now, Out);
     return;
   }
-  Request.HasTwin = true;
+  Request.IsClaimHeldByOther = true;
   Request.MayHaveRun = true;
-  Request.NextProposal = Now + TwinPoll;
+  Request.NextProposal = Now + ClaimHolderPollInterval;
 }
 
-void takeClaim(EntryState &State, RequestState &Request,
-               const wire::ProposalReply &Reply, TimePoint Now,
-               EntryEffects &Out) {
+void handleClaimDecision(EntryState &State, RequestState &Request,
+                         const wire::ProposalReply &Reply, TimePoint Now,
+                         EntryEffects &Out) {
   switch (Reply.status()) {
   case wire::PROPOSAL_ACCEPTED:
     // The earlier holder is known not to have run.
-    Request.HasTwin = false;
+    Request.IsClaimHeldByOther = false;
     Request.MayHaveRun = false;
     enqueue(State, Request, false);
     return;
   case wire::PROPOSAL_DUPLICATE:
-    return takeDuplicate(State, Request, Reply.claim(), Now, Out);
+    return handleDuplicate(State, Request, Reply.claim(), Now, Out);
   case wire::PROPOSAL_INVALID:
     refuseRequest(State, Request.Caller.Id,
                   {RefusalReason::ClaimUnavailable, RanState::NotRun,
@@ -101,21 +103,21 @@
 
 /// A claim was granted to a request that has ended meanwhile. Only what this
 /// process knows not to have run is set free.
-void releaseOrphan(EntryState &State, const wire::ProposalReply &Reply) {
+void releaseOrphanedClaim(EntryState &State, const wire::ProposalReply &Reply) {
   if (Reply.status() != wire::PROPOSAL_ACCEPTED || !Reply.has_claim() ||
-      !State.NeverRun.contains(Reply.claim().request_id()))
+      !State.NotRunIds.contains(Reply.claim().request_id()))
     return;
   wire::ClaimOutcome release;
   release.set_digest(Reply.claim().digest());
   release.set_request_id(Reply.claim().request_id());
   release.set_not_run(true);
-  State.Releases.push_back(std::move(release));
+  State.PendingReleases.push_back(std::move(release));
 }
 
 } // namespace
 
-void proposeClaim(EntryState &State, RequestState &Request, TimePoint Now,
-                  EntryEffects &Out) {
+void sendClaimProposal(EntryState &State, RequestState &Request, TimePoint Now,
+                       EntryEffects &Out) {
   wire::Envelope message;
   wire::Proposal &proposal = *message.mutable_proposal();
   bool isClaim = Request.Stage == RequestStage::Claiming;
@@ -133,26 +135,26 @@
   release.set_digest(Request.ClaimDigest);
   release.set_request_id(Request.Caller.Id);
   release.set_not_run(true);
-  State.Releases.push_back(std::move(release));
-  if (State.NeverRun.insert(Request.Caller.Id).second)
-    State.NeverRunOrder.push_back(Request.Caller.Id);
-  if (State.NeverRunOrder.size() <= MaxNeverRun)
+  State.PendingReleases.push_back(std::move(release));
+  if (State.NotRunIds.insert(Request.Caller.Id).second)
+    State.NotRunOrder.push_back(Request.Caller.Id);
+  if (State.NotRunOrder.size() <= MaxNotRunIds)
     return;
-  State.NeverRun.erase(State.NeverRunOrder.front());
-  State.NeverRunOrder.pop_front();
+  State.NotRunIds.erase(State.NotRunOrder.front());
+  State.NotRunOrder.pop_front();
 }
 
-void takeClaimReply(EntryState &State, const wire::ProposalReply &Reply,
-                    TimePoint Now, EntryEffects &Out) {
+void handleClaimReply(EntryState &State, const wire::ProposalReply &Reply,
+                      TimePoint Now, EntryEffects &Out) {
   const std::string &id = Reply.request_id();
   bool isDecided = Reply.status() == wire::PROPOSAL_ACCEPTED ||
                    Reply.status() == wire::PROPOSAL_INVALID;
   if (id.starts_with(ReleasePrefix)) {
-    bool isFirst =
-        !State.Releases.empty() &&
-        id.substr(ReleasePrefix.size()) == State.Releases.front().request_id();
+    bool isFirst = !State.PendingReleases.empty() &&
+                   id.substr(ReleasePrefix.size()) ==
+                       State.PendingReleases.front().request_id();
     if (isDecided && isFirst) {
-      State.Releases.pop_front();
+      State.PendingReleases.pop_front();
       State.NextRelease = Now;
     }
     return;
@@ -160,26 +162,26 @@
   if (id.starts_with(ClaimPrefix)) {
     auto it = State.Requests.find(id.substr(ClaimPrefix.size()));
     if (it == State.Requests.end())
-      releaseOrphan(State, Reply);
+      releaseOrphanedClaim(State, Reply);
     else if (it->second.Stage == RequestStage::Claiming)
-      takeClaim(State, it->second, Reply, Now, Out);
+      handleClaimDecision(State, it->second, Reply, Now, Out);
     return;
   }
   if (!id.starts_with(OutcomePrefix) || !isDecided)
     return;
   auto it = State.Requests.find(id.substr(OutcomePrefix.size()));
   if (it != State.Requests.end() && it->second.Stage == RequestStage::Recording)
-    completeAnswer(State, it->second, Now, Out);
+    completeResponse(State, it->second, Now, Out);
 }
 
-void repeatClaims(EntryState &State, TimePoint Now, EntryEffects &Out) {
-  if (!State.Releases.empty() && isPast(State.NextRelease, Now))
+void retryClaimProposals(EntryState &State, TimePoint Now, EntryEffects &Out) {
+  if (!State.PendingReleases.empty() && isPast(State.NextRelease, Now))
     sendRelease(State, Now, Out);
   std::vector<std::string> due;
   for (const auto &[id, request] : State.Requests) {
-    bool isAsking = request.Stage == RequestStage::Claiming ||
-                    request.Stage == RequestStage::Recording;
-    if (isAsking && isPast(request.NextProposal, Now))
+    bool isProposalPending = request.Stage == RequestStage::Claiming ||
+                             request.Stage == RequestStage::Recording;
+    if (isProposalPending && isPast(request.NextProposal, Now))
       due.push_back(id);
   }
   for (const std::string &it : due) {
@@ -188,9 +190,9 @@
                   isPast(request.Deadline, Now);
     // The caller's answer is whole; a resend will learn that it may have run.
     if (isLate)
-      completeAnswer(State, request, Now, Out);
+      completeResponse(State, request, Now, Out);
     else
-      proposeClaim(State, request, Now, Out);
+      sendClaimProposal(State, request, Now, Out);
   }
 }
 
--- a/entry/dispatch.cpp
+++ b/entry/dispatch.cpp
@@ -1,4 +1,4 @@
-#include "entry/entry_parts.h"
+#include "entry/entry_internal.h"
 
 #include "core/hash.h"
 #include "core/timing.h"
@@ -10,17 +10,17 @@
 namespace {
 
 /// Tokens that a weight of one earns in each turn.
-constexpr double TurnTokens = 512;
+constexpr double QuantumTokens = 512;
 /// Requests of one tenant looked at in one turn.
 constexpr size_t MaxLookAhead = 64;
 /// Turns in one go, so that a step stays short.
-constexpr int MaxTurns = 64;
+constexpr int MaxRounds = 64;
 /// An unacknowledged attempt is sent again after this silence.
-constexpr Millis AttemptResend{400};
+constexpr Millis AttemptResendInterval{400};
 /// Bytes of the body that stand for its prefix.
-constexpr size_t PrefixBytes = 512;
+constexpr size_t PrefixHashBytes = 512;
 /// Own requests that the prefix's endpoint may have above the least loaded.
-constexpr uint32_t PrefixSlack = 2;
+constexpr uint32_t PrefixLoadSlack = 2;
 
 /// How one candidate endpoint compares.
 struct Candidate {
@@ -28,7 +28,7 @@
   uint64_t Fence = 0;
   uint32_t InFlight = 0;
   uint64_t PrefixRank = 0;
-  bool IsNear = false;
+  bool IsSameZone = false;
 };
 
 uint32_t inFlightAt(const EntryState &State, const std::string &Endpoint) {
@@ -40,19 +40,20 @@
                                       const RequestState &Request,
                                       TimePoint Now) {
   std::vector<Candidate> found;
-  auto names = State.Index.EndpointsOfRow.find(Request.Row);
-  if (names == State.Index.EndpointsOfRow.end())
+  auto names = State.Index.EndpointsByRow.find(Request.Row);
+  if (names == State.Index.EndpointsByRow.end())
     return found;
-  std::string prefix = Request.Caller.Body.substr(0, PrefixBytes);
+  std::string prefix = Request.Caller.Body.substr(0, PrefixHashBytes);
   for (const std::string &it : names->second) {
     const wire::Endpoint *endpoint = findEndpoint(State.View.Items, it);
-    bool isOpen = endpoint && endpoint->ready() && !endpoint->leaving();
-    if (!isOpen)
+    bool isAvailable = endpoint && endpoint->ready() && !endpoint->leaving();
+    if (!isAvailable)
       continue;
-    bool isAvoided = Now < Request.AvoidUntil && Request.Avoid.contains(it);
+    bool isAvoided =
+        Now < Request.AvoidUntil && Request.AvoidedEndpoints.contains(it);
     uint32_t inFlight = inFlightAt(State, it);
     if (isAvoided || inFlight >= endpoint->slots() ||
-        (Request.IsSuspect && inFlight > 0))
+        (Request.RunsAlone && inFlight > 0))
       continue;
     Candidate candidate{endpoint, 0, inFlight, checksumOf(prefix + it),
                         endpoint->zone() == State.Options.Zone};
@@ -74,15 +75,15 @@
   for (const Candidate &it : Candidates) {
     bool isBetter =
         it.InFlight < least->InFlight ||
-        (it.InFlight == least->InFlight && it.IsNear && !least->IsNear);
+        (it.InFlight == least->InFlight && it.IsSameZone && !least->IsSameZone);
     if (isBetter)
       least = &it;
     if (it.PrefixRank > affine->PrefixRank)
       affine = &it;
   }
-  bool isFar = least->IsNear && !affine->IsNear;
-  bool isLoaded = affine->InFlight > least->InFlight + PrefixSlack;
-  return isFar || isLoaded ? least : affine;
+  bool isOtherZone = least->IsSameZone && !affine->IsSameZone;
+  bool isLoaded = affine->InFlight > least->InFlight + PrefixLoadSlack;
+  return isOtherZone || isLoaded ? least : affine;
 }
 
 wire::Envelope makeAttempt(const EntryState &State, const RequestState &Request,
@@ -99,7 +100,7 @@
   out.set_remaining_ms(toMillis(attempt.HeadDeadline - Now));
   out.set_row(Request.Row);
   out.set_fence(attempt.Fence);
-  out.set_alone(Request.IsSuspect);
+  out.set_alone(Request.RunsAlone);
   out.set_digest(Request.Digest);
   out.set_method(Request.Caller.Method);
   out.set_target(Request.Caller.Target);
@@ -119,17 +120,17 @@
   attempt.Address = Choice.Endpoint->address();
   attempt.Incarnation = Choice.Endpoint->incarnation();
   attempt.Fence = Choice.Fence;
-  attempt.LastHeard = Now;
+  attempt.LastReplyAt = Now;
   attempt.HeadDeadline = Now + Request.LongestWait;
   Request.Attempt = attempt;
   Request.Stage = RequestStage::Running;
   ++Request.Attempts;
   Request.HasHead = false;
-  Request.Received = 0;
-  Request.Events = 0;
-  Request.Held.clear();
-  Request.Early.clear();
-  Request.Length.reset();
+  Request.ReceivedBytes = 0;
+  Request.EventCount = 0;
+  Request.BufferedBody.clear();
+  Request.OutOfOrderChunks.clear();
+  Request.BodyLength.reset();
   ++State.InFlight[attempt.Endpoint];
   resendAttempt(State, Request, Now, Out);
 }
@@ -162,9 +163,9 @@
   auto candidates = listCandidates(State, Request, Now);
   const Candidate *choice = chooseCandidate(candidates);
   if (!choice) {
-    auto names = State.Index.EndpointsOfRow.find(Request.Row);
-    bool isLoaded = names != State.Index.EndpointsOfRow.end();
-    Request.WasCold |= !isLoaded && Request.Attempts == 0;
+    auto names = State.Index.EndpointsByRow.find(Request.Row);
+    bool isLoaded = names != State.Index.EndpointsByRow.end();
+    Request.IsColdStart |= !isLoaded && Request.Attempts == 0;
     return StartResult::NoEndpoint;
   }
   if (!charge(State, Request, Now))
@@ -173,24 +174,25 @@
   return StartResult::Started;
 }
 
-double weightOf(const EntryState &State, const std::string &Tenant) {
-  const wire::TableRow *row = findRow(State.View.Items, Tenant);
+double weightOf(const EntryState &State, const std::string &Organisation) {
+  const wire::TableRow *row = findRow(State.View.Items, Organisation);
   return row ? std::max(1U, row->weight()) : 1.0;
 }
 
 /// One turn of one tenant; true when something started.
-bool takeTurn(EntryState &State, const std::string &Tenant, TenantQueue &Queue,
-              TimePoint Now, EntryEffects &Out) {
-  Queue.Deficit += TurnTokens * weightOf(State, Tenant);
+bool serveOrganisation(EntryState &State, const std::string &Organisation,
+                       OrganisationQueue &Queue, TimePoint Now,
+                       EntryEffects &Out) {
+  Queue.Deficit += QuantumTokens * weightOf(State, Organisation);
   bool hasStarted = false;
-  bool isHeldByDeficit = false;
-  size_t looked = 0;
+  bool isBlockedByDeficit = false;
+  size_t examined = 0;
   for (auto it = Queue.Requests.begin();
-       it != Queue.Requests.end() && looked < MaxLookAhead; ++looked) {
+       it != Queue.Requests.end() && examined < MaxLookAhead; ++examined) {
     RequestState &request = State.Requests.at(*it);
     auto cost = static_cast<double>(std::max<uint64_t>(request.Caller.Cost, 1));
     if (cost > Queue.Deficit) {
-      isHeldByDeficit = true;
+      isBlockedByDeficit = true;
       break;
     }
     StartResult result = tryStart(State, request, Now, Out);
@@ -205,32 +207,32 @@
     it = Queue.Requests.erase(it);
   }
   // Only a tenant whose next request costs more may save up.
-  if (!isHeldByDeficit)
+  if (!isBlockedByDeficit)
     Queue.Deficit = 0;
-  return hasStarted || isHeldByDeficit;
+  return hasStarted || isBlockedByDeficit;
 }
 
-std::vector<std::string> tenantsInTurn(const EntryState &State) {
-  std::vector<std::string> tenants;
-  for (const auto &[tenant, queue] : State.Queues)
+std::vector<std::string> organisationsInRoundOrder(const EntryState &State) {
+  std::vector<std::string> organisations;
+  for (const auto &[organisation, queue] : State.Queues)
     if (!queue.Requests.empty())
-      tenants.push_back(tenant);
-  auto first =
-      std::lower_bound(tenants.begin(), tenants.end(), State.NextTenant);
-  std::rotate(tenants.begin(), first, tenants.end());
-  return tenants;
+      organisations.push_back(organisation);
+  auto first = std::lower_bound(organisations.begin(), organisations.end(),
+                                State.NextOrganisation);
+  std::rotate(organisations.begin(), first, organisations.end());
+  return organisations;
 }
 
-Refusal overdueRefusal(const EntryState &State, const RequestState &Request,
+Refusal expiredRefusal(const EntryState &State, const RequestState &Request,
                        TimePoint Now) {
   Refusal why{
       RefusalReason::NoCapacity, RanState::NotRun, std::chrono::seconds(5), {}};
   if (Request.Stage == RequestStage::Claiming)
-    why.Reason = Request.HasTwin ? RefusalReason::Duplicate
-                                 : RefusalReason::ClaimUnavailable;
+    why.Reason = Request.IsClaimHeldByOther ? RefusalReason::Duplicate
+                                            : RefusalReason::ClaimUnavailable;
   else if (!Request.Organisation.empty() && !isConfirmed(State.View, Now))
     why.Reason = RefusalReason::KeyUnconfirmed;
-  else if (State.Index.EndpointsOfRow.contains(Request.Row))
+  else if (State.Index.EndpointsByRow.contains(Request.Row))
     why.Reason = Request.Charged == 0 && Request.Caller.Cost > 0 &&
                          !Request.Organisation.empty()
                      ? RefusalReason::RateExceeded
@@ -251,7 +253,7 @@
 
 void resendAttempt(EntryState &State, RequestState &Request, TimePoint Now,
                    EntryEffects &Out) {
-  Request.Attempt->NextResend = Now + AttemptResend;
+  Request.Attempt->NextResend = Now + AttemptResendInterval;
   Out.push_back(
       EntrySend{Request.Attempt->Address, makeAttempt(State, Request, Now)});
 }
@@ -264,22 +266,24 @@
 
 void dispatchRequests(EntryState &State, TimePoint Now, EntryEffects &Out) {
   State.Tokens.Wishes.clear();
-  for (int turn = 0; turn < MaxTurns; ++turn) {
-    std::vector<std::string> tenants = tenantsInTurn(State);
-    bool isBusy = false;
-    for (const std::string &it : tenants)
-      isBusy |= takeTurn(State, it, State.Queues[it], Now, Out);
-    if (tenants.size() > 1)
-      State.NextTenant = tenants[1];
-    if (!isBusy)
+  for (int round = 0; round < MaxRounds; ++round) {
+    std::vector<std::string> organisations = organisationsInRoundOrder(State);
+    bool needsAnotherRound = false;
+    for (const std::string &it : organisations)
+      needsAnotherRound |=
+          serveOrganisation(State, it, State.Queues[it], Now, Out);
+    if (organisations.size() > 1)
+      State.NextOrganisation = organisations[1];
+    if (!needsAnotherRound)
       return;
     // The last turn's wishes are the ones that stand.
-    if (turn + 1 < MaxTurns)
+    if (round + 1 < MaxRounds)
       State.Tokens.Wishes.clear();
   }
 }
 
-void refuseOverdue(EntryState &State, TimePoint Now, EntryEffects &Out) {
+void refuseExpiredRequests(EntryState &State, TimePoint Now,
+                           EntryEffects &Out) {
   std::vector<std::string> waiting;
   for (const auto &[id, request] : State.Requests)
     if (request.Stage == RequestStage::Queued ||
@@ -292,7 +296,7 @@
     else if (isQuarantined(State, request, Now))
       refuseRequest(State, it, {RefusalReason::Quarantined}, Now, Out);
     else if (isPast(request.Deadline, Now))
-      refuseRequest(State, it, overdueRefusal(State, request, Now), Now, Out);
+      refuseRequest(State, it, expiredRefusal(State, request, Now), Now, Out);
   }
 }
 
--- a/entry/entry_shell.cpp
+++ b/entry/entry_shell.cpp
@@ -21,8 +21,8 @@
 
 constexpr Millis TickPeriod{20};
 /// The balancer sees that the entry is leaving before it stops accepting.
-constexpr Millis BalancerNotice{1000};
-constexpr Millis ExitPoll{50};
+constexpr Millis LoadBalancerNotice{1000};
+constexpr Millis ExitPollInterval{50};
 constexpr Millis ExitDelay{200};
 
 std::vector<HttpField> toFields(const std::vector<HttpHeader> &Headers) {
@@ -48,7 +48,7 @@
 private:
   bool startHttp(std::string &Problem);
   void serve(HttpRequest Request, std::shared_ptr<HttpExchange> Exchange);
-  bool serveOwn(const HttpRequest &Request, HttpExchange &Exchange);
+  bool serveBuiltInPath(const HttpRequest &Request, HttpExchange &Exchange);
   void step(const EntryEvent &Event);
   void perform(EntryEffect &Effect);
   void refuse(const RefusalResponse &Effect);
@@ -56,9 +56,9 @@
   void listModels(HttpExchange &Exchange);
   void publish(TimePoint Now);
   void beginStop();
-  void waitForAnswers();
-  std::shared_ptr<HttpExchange> exchangeOf(const std::string &Id);
-  std::shared_ptr<HttpExchange> takeExchange(const std::string &Id);
+  void waitForOpenRequests();
+  std::shared_ptr<HttpExchange> findExchange(const std::string &Id);
+  std::shared_ptr<HttpExchange> removeExchange(const std::string &Id);
   void post(EntryEvent Event) { sendEvent(Role, std::move(Event)); }
 
   boost::asio::io_context &Io;
@@ -74,27 +74,28 @@
   std::atomic<bool> IsReady{false};
   std::atomic<bool> IsLeaving{false};
   std::atomic<bool> IsDone{false};
-  uint64_t NextRequest = 1; ///< Context's thread.
+  uint64_t NextRequestNumber = 1; ///< Context's thread.
   std::mutex ExchangeLock;
   std::map<std::string, std::shared_ptr<HttpExchange>> Exchanges;
-  std::map<const HttpExchange *, std::string> Ids;
+  std::map<const HttpExchange *, std::string> IdByExchange;
   std::string ModelList; ///< Answer to /v1/models, under ExchangeLock.
   uint64_t ModelListVersion = 0;
 };
 
-std::shared_ptr<HttpExchange> EntryShell::exchangeOf(const std::string &Id) {
+std::shared_ptr<HttpExchange> EntryShell::findExchange(const std::string &Id) {
   std::lock_guard guard(ExchangeLock);
   auto it = Exchanges.find(Id);
   return it == Exchanges.end() ? nullptr : it->second;
 }
 
-std::shared_ptr<HttpExchange> EntryShell::takeExchange(const std::string &Id) {
+std::shared_ptr<HttpExchange>
+EntryShell::removeExchange(const std::string &Id) {
   std::lock_guard guard(ExchangeLock);
   auto it = Exchanges.find(Id);
   if (it == Exchanges.end())
     return nullptr;
   auto exchange = it->second;
-  Ids.erase(exchange.get());
+  IdByExchange.erase(exchange.get());
   Exchanges.erase(it);
   return exchange;
 }
@@ -109,16 +110,16 @@
     std::string id;
     {
       std::lock_guard guard(ExchangeLock);
-      auto it = Ids.find(Exchange);
-      if (it == Ids.end())
+      auto it = IdByExchange.find(Exchange);
+      if (it == IdByExchange.end())
         return;
       id = it->second;
     }
-    takeExchange(id);
+    removeExchange(id);
     if (Loss == HttpLoss::SlowReader)
       post(CallerTooSlow{id});
     else
-      post(CallerGone{id});
+      post(CallerDisconnected{id});
   };
   HttpLimits limits;
   limits.HeadBytes = Options.EntryRole.HeadBytes;
@@ -135,7 +136,8 @@
 }
 
 /// Answers the entry's own paths; false for callers' requests.
-bool EntryShell::serveOwn(const HttpRequest &Request, HttpExchange &Exchange) {
+bool EntryShell::serveBuiltInPath(const HttpRequest &Request,
+                                  HttpExchange &Exchange) {
   if (serveStatusPage(Request, Exchange, Counts, IsReady && !IsLeaving))
     return true;
   if (Request.Target != "/v1/models" || Request.Method != "GET")
@@ -146,15 +148,16 @@
 
 void EntryShell::serve(HttpRequest Request,
                        std::shared_ptr<HttpExchange> Exchange) {
-  if (serveOwn(Request, *Exchange))
+  if (serveBuiltInPath(Request, *Exchange))
     return;
   std::string id = Options.Node + "-" + std::to_string(Incarnation) + "-" +
-                   std::to_string(NextRequest++);
+                   std::to_string(NextRequestNumber++);
   std::string problem;
-  auto caller = readCaller(std::move(Request), Options.KeySalt, problem);
+  auto caller =
+      parseCallerRequest(std::move(Request), Options.KeySalt, problem);
   {
     std::lock_guard guard(ExchangeLock);
-    Ids[Exchange.get()] = id;
+    IdByExchange[Exchange.get()] = id;
     Exchanges[id] = std::move(Exchange);
   }
   if (!caller) {
@@ -169,7 +172,7 @@
 }
 
 void EntryShell::refuse(const RefusalResponse &Effect) {
-  auto exchange = takeExchange(Effect.Id);
+  auto exchange = removeExchange(Effect.Id);
   if (!exchange)
     return;
   logEvent(LogLevel::Info, "request_refused",
@@ -182,18 +185,18 @@
     fields.push_back(
         {"retry-after", std::to_string(Effect.Why.RetryAfter.count())});
   exchange->respond(statusOf(Effect.Why.Reason), fields,
-                    printRefusal(Effect.Why, Effect.Id));
+                    formatRefusal(Effect.Why, Effect.Id));
 }
 
 void EntryShell::abort(const ResponseAbort &Effect) {
-  auto exchange = takeExchange(Effect.Id);
+  auto exchange = removeExchange(Effect.Id);
   if (!exchange)
     return;
   logEvent(LogLevel::Warning, "answer_aborted",
            {{"request", Effect.Id},
             {"reason", std::string(nameOf(Effect.Why.Reason))}});
-  exchange->write("event: error\ndata: " + printRefusal(Effect.Why, Effect.Id) +
-                  "\n");
+  exchange->write(
+      "event: error\ndata: " + formatRefusal(Effect.Why, Effect.Id) + "\n");
   exchange->abort();
 }
 
@@ -203,19 +206,19 @@
   } else if (auto *head = std::get_if<ResponseHead>(&Effect)) {
     auto fields = toFields(head->Headers);
     fields.push_back({"x-request-id", head->Id});
-    if (auto exchange = exchangeOf(head->Id))
+    if (auto exchange = findExchange(head->Id))
       exchange->start(head->Status, std::move(fields));
   } else if (auto *body = std::get_if<ResponseBody>(&Effect)) {
-    if (auto exchange = exchangeOf(body->Id))
+    if (auto exchange = findExchange(body->Id))
       exchange->write(std::move(body->Bytes));
   } else if (auto *end = std::get_if<ResponseEnd>(&Effect)) {
-    if (auto exchange = takeExchange(end->Id))
+    if (auto exchange = removeExchange(end->Id))
       exchange->finish();
   } else if (auto *refusal = std::get_if<RefusalResponse>(&Effect)) {
     refuse(*refusal);
-  } else if (auto *broken = std::get_if<ResponseAbort>(&Effect)) {
-    abort(*broken);
-  } else if (auto *count = std::get_if<CountEvent>(&Effect)) {
+  } else if (auto *aborted = std::get_if<ResponseAbort>(&Effect)) {
+    abort(*aborted);
+  } else if (auto *count = std::get_if<CounterIncrement>(&Effect)) {
     Counts.count(count->Name, count->Labels);
   } else if (auto *cold = std::get_if<ObserveColdStart>(&Effect)) {
     Counts.observe("cold_start_seconds", cold->Wait);
@@ -267,21 +270,21 @@
 void EntryShell::beginStop() {
   if (IsLeaving.exchange(true))
     return;
-  StopTimer.expires_after(BalancerNotice);
+  StopTimer.expires_after(LoadBalancerNotice);
   StopTimer.async_wait([self = shared_from_this()](auto) {
     self->Server->stopAccepting();
-    self->waitForAnswers();
+    self->waitForOpenRequests();
   });
 }
 
-void EntryShell::waitForAnswers() {
+void EntryShell::waitForOpenRequests() {
   bool isEmpty = Server->countOpen() == 0;
   if (isEmpty)
     post(EntryStop{});
-  StopTimer.expires_after(isEmpty && IsDone ? ExitDelay : ExitPoll);
+  StopTimer.expires_after(isEmpty && IsDone ? ExitDelay : ExitPollInterval);
   StopTimer.async_wait([self = shared_from_this(), isEmpty](auto) {
     if (!isEmpty || !self->IsDone) {
-      self->waitForAnswers();
+      self->waitForOpenRequests();
       return;
     }
     self->Peers->close();
--- a/entry/entry_state.h
+++ b/entry/entry_state.h
@@ -25,9 +25,9 @@
 /// Broken answers of one request after which it is not tried again.
 inline constexpr uint32_t MaxBrokenAttempts = 2;
 /// Ended requests with a claim that are remembered as never run.
-inline constexpr size_t MaxNeverRun = 4096;
+inline constexpr size_t MaxNotRunIds = 4096;
 /// Bytes of an answer that is held until it is whole.
-inline constexpr size_t MaxHeldAnswer = 16ULL * 1024 * 1024;
+inline constexpr size_t MaxBufferedResponseBytes = 16ULL * 1024 * 1024;
 
 enum class RequestStage { Claiming, Queued, Running, Recording };
 
@@ -37,7 +37,7 @@
   uint64_t Incarnation = 0;
   uint64_t Fence = 0;
   TimePoint HeadDeadline; ///< The answer must have begun by then.
-  TimePoint LastHeard;
+  TimePoint LastReplyAt;
   TimePoint NextResend;
   bool IsAcknowledged = false;
   bool IsCancelling = false;
@@ -52,7 +52,7 @@
   uint64_t ClaimWindowMs = 0;
   bool IsRepeatable = true;
   RequestStage Stage = RequestStage::Queued;
-  TimePoint Arrived;
+  TimePoint ArrivedAt;
   TimePoint Deadline; ///< It must have been started by then.
   Millis LongestWait{0};
   TimePoint NextProposal;
@@ -61,27 +61,28 @@
   uint32_t Attempts = 0;
   uint32_t BrokenAttempts = 0;
   bool MayHaveRun = false;
-  bool HasTwin = false;   ///< Another request holds the same claim.
-  bool IsSuspect = false; ///< Ran where an answer broke: runs alone.
-  bool WasCold = false;
-  bool IsCallerGone = false;
+  bool IsClaimHeldByOther = false; ///< Another request holds the same claim.
+  bool RunsAlone = false;          ///< Ran where an answer broke: runs alone.
+  bool IsColdStart = false;
+  bool IsCallerDisconnected = false;
   std::optional<RunningAttempt> Attempt;
-  std::set<std::string> Avoid; ///< Endpoints that refused it.
+  std::set<std::string> AvoidedEndpoints; ///< Endpoints that refused it.
   TimePoint AvoidUntil;
   // The answer so far.
   bool HasHead = false;
   bool IsHeadSent = false;
   unsigned Status = 0;
   std::vector<HttpHeader> Headers;
-  uint64_t Received = 0;
-  uint64_t Events = 0; ///< Server-sent events seen.
-  std::string Held;
-  std::map<uint64_t, std::string> Early; ///< Pieces that came before others.
-  std::optional<uint64_t> Length;        ///< Of the body, once it is told.
+  uint64_t ReceivedBytes = 0;
+  uint64_t EventCount = 0; ///< Server-sent events seen.
+  std::string BufferedBody;
+  std::map<uint64_t, std::string>
+      OutOfOrderChunks;               ///< Pieces that came before others.
+  std::optional<uint64_t> BodyLength; ///< Of the body, once it is told.
   TimePoint GapDeadline; ///< What is missing must have come by then.
 };
 
-struct TenantQueue {
+struct OrganisationQueue {
   std::deque<std::string> Requests;
   double Deficit = 0;
 };
@@ -104,9 +105,9 @@
 /// Look-ups made anew whenever the view changes.
 struct ViewIndex {
   uint64_t Version = 0;
-  std::map<std::string, std::string> TenantOfKey; ///< By key hash.
-  std::map<std::string, std::vector<std::string>> EndpointsOfRow;
-  std::map<std::string, TimePoint> LoadedSince; ///< By row, as seen here.
+  std::map<std::string, std::string> OrganisationByKeyHash; ///< By key hash.
+  std::map<std::string, std::vector<std::string>> EndpointsByRow;
+  std::map<std::string, TimePoint> LoadedSinceByRow; ///< By row, as seen here.
   std::vector<std::pair<std::string, std::string>> Services; ///< Path, row.
 };
 
@@ -116,16 +117,16 @@
   ViewIndex Index;
   HeldGrants Tokens;
   std::map<std::string, RequestState> Requests;
-  std::map<std::string, TenantQueue> Queues; ///< By tenant.
-  std::string NextTenant;                    ///< Whose turn it is.
-  std::map<std::string, uint32_t> InFlight;  ///< By endpoint.
-  std::map<std::string, uint32_t> Arrivals;  ///< By row, not yet reported.
+  std::map<std::string, OrganisationQueue> Queues; ///< By tenant.
+  std::string NextOrganisation;                    ///< Whose turn it is.
+  std::map<std::string, uint32_t> InFlight;        ///< By endpoint.
+  std::map<std::string, uint32_t> Arrivals; ///< By row, not yet reported.
   std::set<std::string> ReportedDemand;
-  std::deque<wire::ClaimOutcome> Releases; ///< Claims to set free.
+  std::deque<wire::ClaimOutcome> PendingReleases; ///< Claims to set free.
   TimePoint NextRelease;
   /// Requests with a claim that ended surely not run, the newest last.
-  std::set<std::string> NeverRun;
-  std::deque<std::string> NeverRunOrder;
+  std::set<std::string> NotRunIds;
+  std::deque<std::string> NotRunOrder;
   double RetryBudget = 10;
   OutcomeCounts Counts;
   bool IsStopping = false;
@@ -142,7 +143,7 @@
   CallerRequest Request;
 };
 /// The caller's connection ended before its answer did.
-struct CallerGone {
+struct CallerDisconnected {
   std::string Id;
 };
 /// The caller does not read what it is sent.
@@ -151,7 +152,7 @@
 };
 struct EntryStop {};
 using EntryEvent = std::variant<EntryTick, EntryReceived, CallerArrived,
-                                CallerGone, CallerTooSlow, EntryStop>;
+                                CallerDisconnected, CallerTooSlow, EntryStop>;
 
 // ---- Effects ----
 
@@ -185,7 +186,7 @@
   Refusal Why;
 };
 /// One more of a counter.
-struct CountEvent {
+struct CounterIncrement {
   std::string Name;
   std::string Labels;
 };
@@ -196,7 +197,7 @@
 struct EntryExit {};
 using EntryEffect = std::variant<EntrySend, ResponseHead, ResponseBody,
                                  ResponseEnd, RefusalResponse, ResponseAbort,
-                                 CountEvent, ObserveColdStart, EntryExit>;
+                                 CounterIncrement, ObserveColdStart, EntryExit>;
 using EntryEffects = std::vector<EntryEffect>;
 
 /// Takes one event at \p Now.
