--- a/entry/entry_state.cpp
+++ b/entry/entry_state.cpp
@@ -9,13 +9,17 @@
 
 namespace {
 
-/// A row newly waited for is reported at once, but not more often than this.
+/// Minimum interval between the last heartbeat and one that is sent early
+/// because requests wait for a row not yet reported.
 constexpr Millis MinDemandReportInterval{50};
-/// How far ahead tokens are counted on for waking a model.
+/// Period for which an organisation's future tokens count when its demand for a
+/// model is reported.
 constexpr std::chrono::seconds TokenHorizon{10};
 
-/// Tokens that \p Tenant can spend before a load that starts now would end:
-/// what waits beyond that must not wake a model, since it could not run.
+/// Tokens that \p Organisation can spend by the time a load that starts now has
+/// finished. Requests beyond that must not cause a load, since they could not
+/// run. Unlimited for an organisation without a table row; the burst unless its
+/// bucket was short when last asked.
 uint64_t tokensWithinHorizon(const EntryState &State,
                              const std::string &Organisation, TimePoint Now) {
   const wire::TableRow *row = findRow(State.View.Items, Organisation);
@@ -69,7 +73,8 @@
     demand.set_row(row);
     *heartbeat.add_demand() = demand;
   }
-  // Rows that wait for tokens only are no news either.
+  // Also covers rows whose requests wait only for tokens and are left out of
+  // the demand; otherwise they would cause an early heartbeat again and again.
   for (const auto &[id, request] : State.Requests)
     if (request.Stage == RequestStage::Queued)
       State.ReportedDemand.insert(request.Row);
@@ -78,7 +83,9 @@
     Out.push_back(EntrySend{it, message});
 }
 
-/// A cold row's first request does not wait for the next period.
+/// Sends the next heartbeat early if a request waits for a row that the last
+/// one did not cover, so that a cold start does not wait for the heartbeat
+/// period.
 void expediteDemandReport(EntryState &State, TimePoint Now) {
   for (const auto &[id, request] : State.Requests) {
     bool isNew = request.Stage == RequestStage::Queued &&
@@ -101,7 +108,8 @@
   Out.push_back(EntrySend{State.View.LeaderAddress, std::move(message)});
 }
 
-/// Everything that may have become possible or due.
+/// Does everything that may have become possible or due: dispatch, grant
+/// request and heartbeat.
 void advance(EntryState &State, TimePoint Now, EntryEffects &Out) {
   refreshIndex(State, Now);
   dispatchRequests(State, Now, Out);
@@ -128,7 +136,8 @@
                    TimePoint Now, EntryEffects &Out) {
   switch (Message.body_case()) {
   case wire::Envelope::kHeartbeatReply:
-    // What changed is acknowledged at once, so that it is known in force.
+    // Acknowledge changed items at once, so that the leader knows that the new
+    // version is in force here.
     if (applyHeartbeatReply(State.View, Message.heartbeat_reply(), Now))
       State.View.NextHeartbeat = Now;
     break;
--- a/entry/entry_state.h
+++ b/entry/entry_state.h
@@ -1,6 +1,6 @@
 /// \file
-/// Decisions of an entry: key check, limits, queueing, routing, attempts and
-/// answers. Every request that arrives ends in exactly one outcome.
+/// State machine of an entry: API key check, rate limits, queueing, routing,
+/// attempts and responses. Every received request ends in exactly one outcome.
 #ifndef SASSAFRAS_ENTRY_ENTRY_STATE_H
 #define SASSAFRAS_ENTRY_ENTRY_STATE_H
 
@@ -18,15 +18,16 @@
 
 namespace sassafras {
 
-/// Requests of one tenant that may wait at one entry.
+/// Maximum number of queued requests of one organisation at one entry.
 inline constexpr size_t MaxQueuedRequests = 2000;
-/// Attempts of one request at most.
+/// Maximum number of attempts of one request. Refusals by agents are retried
+/// beyond it.
 inline constexpr uint32_t MaxAttempts = 4;
-/// Broken answers of one request after which it is not tried again.
+/// A request is not retried after this many broken or abandoned attempts.
 inline constexpr uint32_t MaxBrokenAttempts = 2;
-/// Ended requests with a claim that are remembered as never run.
+/// Maximum number of IDs in EntryState::NotRunIds.
 inline constexpr size_t MaxNotRunIds = 4096;
-/// Bytes of an answer that is held until it is whole.
+/// Maximum number of response bytes buffered for one request.
 inline constexpr size_t MaxBufferedResponseBytes = 16ULL * 1024 * 1024;
 
 enum class RequestStage { Claiming, Queued, Running, Recording };
@@ -36,7 +37,7 @@
   std::string Address;
   uint64_t Incarnation = 0;
   uint64_t Fence = 0;
-  TimePoint HeadDeadline; ///< The answer must have begun by then.
+  TimePoint HeadDeadline; ///< The response head must have arrived by then.
   TimePoint LastReplyAt;
   TimePoint NextResend;
   bool IsAcknowledged = false;
@@ -48,12 +49,14 @@
   std::string Organisation; ///< Empty on open routes.
   std::string Row;
   std::string Digest;
-  std::string ClaimDigest; ///< Set when the request must not be repeated.
+  std::string ClaimDigest; ///< Set only when the request is not repeatable.
   uint64_t ClaimWindowMs = 0;
   bool IsRepeatable = true;
   RequestStage Stage = RequestStage::Queued;
   TimePoint ArrivedAt;
-  TimePoint Deadline; ///< It must have been started by then.
+  /// While queued or claiming: the next attempt must start by then. While
+  /// recording: the response is delivered then without a recorded outcome.
+  TimePoint Deadline;
   Millis LongestWait{0};
   TimePoint NextProposal;
   uint64_t Charged = 0;
@@ -61,34 +64,38 @@
   uint32_t Attempts = 0;
   uint32_t BrokenAttempts = 0;
   bool MayHaveRun = false;
-  bool IsClaimHeldByOther = false; ///< Another request holds the same claim.
-  bool RunsAlone = false;          ///< Ran where an answer broke: runs alone.
+  bool IsClaimHeldByOther = false;
+  /// Must be the only request at its endpoint, because an earlier attempt of it
+  /// broke or was lost, or a death is recorded for its digest.
+  bool RunsAlone = false;
   bool IsColdStart = false;
   bool IsCallerDisconnected = false;
   std::optional<RunningAttempt> Attempt;
-  std::set<std::string> AvoidedEndpoints; ///< Endpoints that refused it.
+  /// Skipped until AvoidUntil, since they refused the request or restarted.
+  std::set<std::string> AvoidedEndpoints;
   TimePoint AvoidUntil;
-  // The answer so far.
+  // Response received so far by the current attempt.
   bool HasHead = false;
   bool IsHeadSent = false;
   unsigned Status = 0;
   std::vector<HttpHeader> Headers;
   uint64_t ReceivedBytes = 0;
-  uint64_t EventCount = 0; ///< Server-sent events seen.
+  uint64_t EventCount = 0; ///< Server-sent events in a forwarded stream.
+  /// Body so far; only its end if the response is forwarded as a stream.
   std::string BufferedBody;
-  std::map<uint64_t, std::string>
-      OutOfOrderChunks;               ///< Pieces that came before others.
-  std::optional<uint64_t> BodyLength; ///< Of the body, once it is told.
-  TimePoint GapDeadline; ///< What is missing must have come by then.
+  std::map<uint64_t, std::string> OutOfOrderChunks; ///< By offset.
+  /// Known once the attempt's end was received.
+  std::optional<uint64_t> BodyLength;
+  TimePoint GapDeadline; ///< Missing chunks must have arrived by then.
 };
 
 struct OrganisationQueue {
   std::deque<std::string> Requests;
-  double Deficit = 0;
+  double Deficit = 0; ///< Of deficit round robin, in tokens.
 };
 
-/// Counts that must add up: accepted = answered + refused + failed +
-/// cancelled + held.
+/// Invariant: accepted = answered + refused + failed + cancelled + pending (the
+/// result of countPendingRequests, published as "held").
 struct OutcomeCounts {
   uint64_t Accepted = 0;
   uint64_t Answered = 0;
@@ -102,13 +109,16 @@
   std::string Zone;
 };
 
-/// Look-ups made anew whenever the view changes.
+/// Lookup tables, rebuilt whenever the version of the view changes.
 struct ViewIndex {
   uint64_t Version = 0;
-  std::map<std::string, std::string> OrganisationByKeyHash; ///< By key hash.
+  std::map<std::string, std::string> OrganisationByKeyHash;
   std::map<std::string, std::vector<std::string>> EndpointsByRow;
-  std::map<std::string, TimePoint> LoadedSinceByRow; ///< By row, as seen here.
-  std::vector<std::pair<std::string, std::string>> Services; ///< Path, row.
+  /// Since when this entry has seen the row at an endpoint without
+  /// interruption.
+  std::map<std::string, TimePoint> LoadedSinceByRow;
+  /// Path prefix and row name.
+  std::vector<std::pair<std::string, std::string>> Services;
 };
 
 struct EntryState {
@@ -117,16 +127,20 @@
   ViewIndex Index;
   HeldGrants Tokens;
   std::map<std::string, RequestState> Requests;
-  std::map<std::string, OrganisationQueue> Queues; ///< By tenant.
-  std::string NextOrganisation;                    ///< Whose turn it is.
-  std::map<std::string, uint32_t> InFlight;        ///< By endpoint.
-  std::map<std::string, uint32_t> Arrivals; ///< By row, not yet reported.
+  std::map<std::string, OrganisationQueue> Queues; ///< By organisation.
+  std::string NextOrganisation;             ///< Served first in the next round.
+  std::map<std::string, uint32_t> InFlight; ///< Attempts by endpoint.
+  /// Requests by row since the last heartbeat.
+  std::map<std::string, uint32_t> Arrivals;
+  /// Rows with queued requests at the last heartbeat.
   std::set<std::string> ReportedDemand;
-  std::deque<wire::ClaimOutcome> PendingReleases; ///< Claims to set free.
+  /// Releases of claims, not yet acknowledged.
+  std::deque<wire::ClaimOutcome> PendingReleases;
   TimePoint NextRelease;
-  /// Requests with a claim that ended surely not run, the newest last.
+  /// IDs of ended requests with a claim that are known not to have run. A claim
+  /// that is granted to one of them late is released again.
   std::set<std::string> NotRunIds;
-  std::deque<std::string> NotRunOrder;
+  std::deque<std::string> NotRunOrder; ///< NotRunIds, oldest first.
   double RetryBudget = 10;
   OutcomeCounts Counts;
   bool IsStopping = false;
@@ -134,7 +148,7 @@
 
 // ---- Events ----
 
-/// Time has passed; send one at least every 50 ms.
+/// Periodic timer; must be sent at least every 50 ms.
 struct EntryTick {};
 struct EntryReceived {
   wire::Envelope Message;
@@ -142,11 +156,11 @@
 struct CallerArrived {
   CallerRequest Request;
 };
-/// The caller's connection ended before its answer did.
+/// The caller's connection closed before its response was complete.
 struct CallerDisconnected {
   std::string Id;
 };
-/// The caller does not read what it is sent.
+/// The caller reads its response too slowly.
 struct CallerTooSlow {
   std::string Id;
 };
@@ -160,7 +174,8 @@
   std::string Address;
   wire::Envelope Message;
 };
-/// Start of an answer; its length follows by counting unless it is known.
+/// Starts the response with its status and headers. The body follows in
+/// ResponseBody effects; its length is theirs unless a header states it.
 struct ResponseHead {
   std::string Id;
   unsigned Status = 200;
@@ -171,43 +186,49 @@
   std::string Id;
   std::string Bytes;
 };
-/// The whole answer was passed on.
+/// The whole response has been sent.
 struct ResponseEnd {
   std::string Id;
 };
-/// No answer: an error with a reason. Nothing was passed on before.
+/// Error response with a reason. Only produced while nothing of a response has
+/// been sent.
 struct RefusalResponse {
   std::string Id;
   Refusal Why;
 };
-/// The answer broke off after its head: end so that the caller can tell.
+/// The response failed after its head was sent. Must be terminated so that the
+/// caller can tell it from a complete one.
 struct ResponseAbort {
   std::string Id;
   Refusal Why;
 };
-/// One more of a counter.
+/// Increments a metrics counter by one.
 struct CounterIncrement {
   std::string Name;
   std::string Labels;
 };
+/// Records the time from arrival to response head of a request that waited for
+/// its model to be loaded.
 struct ObserveColdStart {
   Clock::duration Wait;
 };
-/// Everything is finished: the process may exit.
+/// The entry has drained; the process may exit.
 struct EntryExit {};
 using EntryEffect = std::variant<EntrySend, ResponseHead, ResponseBody,
                                  ResponseEnd, RefusalResponse, ResponseAbort,
                                  CounterIncrement, ObserveColdStart, EntryExit>;
 using EntryEffects = std::vector<EntryEffect>;
 
-/// Takes one event at \p Now.
+/// Applies one event that happens at \p Now and returns the effects to carry
+/// out, in order.
 EntryEffects stepEntry(EntryState &State, const EntryEvent &Event,
                        TimePoint Now);
-/// Requests without an outcome yet.
+/// Number of requests without an outcome.
 inline uint64_t countPendingRequests(const EntryState &State) {
   return State.Requests.size();
 }
-/// True when the balancer may send callers here.
+/// True when a load balancer may route requests to this entry: it is not
+/// stopping and its view is confirmed by a leader.
 bool isEntryReady(const EntryState &State, TimePoint Now);
 
 } // namespace sassafras
