--- a/entry/claims.cpp
+++ b/entry/claims.cpp
@@ -12,7 +12,8 @@
 constexpr std::string_view ClaimPrefix = "claim/";
 constexpr std::string_view OutcomePrefix = "outcome/";
 constexpr std::string_view ReleasePrefix = "release/";
-/// How often a request asks whether the one that holds its claim ended.
+/// How often a duplicate request asks whether the request that holds its claim
+/// has ended.
 constexpr Millis ClaimHolderPollInterval{1000};
 
 std::string contentTypeOf(const RequestState &Request) {
@@ -37,7 +38,8 @@
   outcome.set_request_id(Request.Caller.Id);
   outcome.set_status(Request.Status);
   outcome.set_content_type(contentTypeOf(Request));
-  // A larger answer is not kept: a resend learns only that it ran.
+  // A larger response is not recorded: a resend learns only that the request
+  // ran.
   if (Request.BufferedBody.size() <= MaxClaimBody)
     outcome.set_body(Request.BufferedBody);
   return command;
@@ -53,7 +55,8 @@
   sendToControl(State, message, Out);
 }
 
-/// The earlier request's recorded answer serves this one.
+/// Completes the request with the recorded response of the earlier request that
+/// held the claim.
 void replayResponse(EntryState &State, RequestState &Request,
                     const wire::Claim &Claim, TimePoint Now,
                     EntryEffects &Out) {
@@ -83,7 +86,7 @@
                          EntryEffects &Out) {
   switch (Reply.status()) {
   case wire::PROPOSAL_ACCEPTED:
-    // The earlier holder is known not to have run.
+    // If another request held the claim before, it is known not to have run.
     Request.IsClaimHeldByOther = false;
     Request.MayHaveRun = false;
     enqueue(State, Request, false);
@@ -101,8 +104,8 @@
   }
 }
 
-/// A claim was granted to a request that has ended meanwhile. Only what this
-/// process knows not to have run is set free.
+/// Handles a claim granted to a request that has ended in the meantime.
+/// Releases it only if this process knows that the request did not run.
 void releaseOrphanedClaim(EntryState &State, const wire::ProposalReply &Reply) {
   if (Reply.status() != wire::PROPOSAL_ACCEPTED || !Reply.has_claim() ||
       !State.NotRunIds.contains(Reply.claim().request_id()))
@@ -188,7 +191,8 @@
     RequestState &request = State.Requests.at(it);
     bool isLate = request.Stage == RequestStage::Recording &&
                   isPast(request.Deadline, Now);
-    // The caller's answer is whole; a resend will learn that it may have run.
+    // The response is complete, so it is delivered although its outcome is not
+    // recorded; a resend will be told that the request may have run.
     if (isLate)
       completeResponse(State, request, Now, Out);
     else
