--- a/entry/admission.cpp
+++ b/entry/admission.cpp
@@ -24,7 +24,9 @@
          Path[Prefix.size()] == '/';
 }
 
-/// Row that the request is for, or null.
+/// Returns the table row that the request is for: a model or adapter under
+/// /v1/, else the service with the longest matching path prefix. Null if there
+/// is none.
 const wire::TableRow *findTargetRow(const EntryState &State,
                                     const CallerRequest &Caller) {
   if (Caller.Path.starts_with(ModelPrefix)) {
@@ -48,7 +50,9 @@
   return Method == "GET" || Method == "HEAD" || Method == "OPTIONS";
 }
 
-/// Why the key does not open \p Row, if it does not; sets the tenant if so.
+/// Returns why the caller's key does not give access to \p Row, or nothing if
+/// it does. Sets \p Organisation to the key's owner; open rows need no key and
+/// leave it unchanged.
 std::optional<Refusal> checkKey(const EntryState &State,
                                 const wire::TableRow &Row,
                                 const CallerRequest &Caller,
@@ -68,8 +72,10 @@
   return std::nullopt;
 }
 
-/// Time after which tokens for what is queued here will have come in, at the
-/// tenant's whole rate; other entries can only make it longer.
+/// Refuses a request that costs more than the organisation's burst, or whose
+/// tokens, after those of its other requests queued here, would not be
+/// available within the row's longest wait. Assumes the organisation's whole
+/// rate; use of it by other entries can only make the wait longer.
 std::optional<Refusal> checkRate(const EntryState &State,
                                  const RequestState &Request,
                                  const wire::TableRow &Row) {
@@ -79,8 +85,8 @@
     return std::nullopt;
   if (Request.Caller.Cost > organisation->burst())
     return makeRefusal(RefusalReason::CostAboveBurst,
-                       "cost " + std::to_string(Request.Caller.Cost) +
-                           " tokens, burst " +
+                       "request costs " + std::to_string(Request.Caller.Cost) +
+                           " tokens, more than the burst of " +
                            std::to_string(organisation->burst()));
   auto queue = State.Queues.find(Request.Organisation);
   if (queue == State.Queues.end())
@@ -189,7 +195,7 @@
   if (State.IsStopping)
     return refuseOnArrival(State, Caller.Id,
                            makeRefusal(RefusalReason::Stopping), Out);
-  // Without any view even an open route is unknown.
+  // Before the first view arrives, open routes are unknown too.
   if (State.View.Version == 0)
     return refuseOnArrival(State, Caller.Id,
                            makeRefusal(RefusalReason::KeyUnconfirmed), Out);
--- a/entry/dispatch.cpp
+++ b/entry/dispatch.cpp
@@ -9,20 +9,21 @@
 
 namespace {
 
-/// Tokens that a weight of one earns in each turn.
+/// Deficit round robin quantum: tokens added per unit of weight in each round.
 constexpr double QuantumTokens = 512;
-/// Requests of one tenant looked at in one turn.
+/// Maximum number of requests of one organisation examined in one round.
 constexpr size_t MaxLookAhead = 64;
-/// Turns in one go, so that a step stays short.
+/// Maximum number of rounds in one step, so that a step stays short.
 constexpr int MaxRounds = 64;
-/// An unacknowledged attempt is sent again after this silence.
+/// An unacknowledged attempt is sent again after this time.
 constexpr Millis AttemptResendInterval{400};
-/// Bytes of the body that stand for its prefix.
+/// Leading bytes of the body that are hashed for prefix affinity.
 constexpr size_t PrefixHashBytes = 512;
-/// Own requests that the prefix's endpoint may have above the least loaded.
+/// How many more requests of this entry may be in flight at the endpoint with
+/// prefix affinity than at the least loaded one.
 constexpr uint32_t PrefixLoadSlack = 2;
 
-/// How one candidate endpoint compares.
+/// An endpoint that can take a request, with the criteria for choosing it.
 struct Candidate {
   const wire::Endpoint *Endpoint = nullptr;
   uint64_t Fence = 0;
@@ -65,8 +66,10 @@
   return found;
 }
 
-/// The endpoint of the request's prefix unless it is clearly more loaded;
-/// else the least loaded, a near one first.
+/// Returns the endpoint with prefix affinity (highest rendezvous hash), or the
+/// least loaded one, preferring the own zone, if the former is clearly more
+/// loaded or is in another zone while the latter is not. Null without
+/// candidates.
 const Candidate *chooseCandidate(const std::vector<Candidate> &Candidates) {
   if (Candidates.empty())
     return nullptr;
@@ -135,8 +138,9 @@
   resendAttempt(State, Request, Now, Out);
 }
 
-/// Charges the request unless an earlier attempt was charged. False, with
-/// the wish noted, when the tenant's tokens are not at hand.
+/// Charges the request unless an earlier attempt was charged. Returns false,
+/// and notes the tokens to be requested, when the organisation holds too few
+/// here.
 bool charge(EntryState &State, RequestState &Request, TimePoint Now) {
   bool isFree = Request.Organisation.empty() || Request.Caller.Cost == 0;
   if (isFree || Request.Charged > 0)
@@ -157,7 +161,7 @@
                      EntryEffects &Out) {
   if (!Request.Organisation.empty() && !isConfirmed(State.View, Now))
     return StartResult::NoView;
-  // The key may have gone since the request was admitted.
+  // The key may have been withdrawn since the request was admitted.
   if (!isKeyValid(State, Request))
     return StartResult::NoKey;
   auto candidates = listCandidates(State, Request, Now);
@@ -179,7 +183,9 @@
   return row ? std::max(1U, row->weight()) : 1.0;
 }
 
-/// One turn of one tenant; true when something started.
+/// Serves one organisation in one round. Returns true when a further round may
+/// start more: a request was started, or the next one costs more than the
+/// deficit.
 bool serveOrganisation(EntryState &State, const std::string &Organisation,
                        OrganisationQueue &Queue, TimePoint Now,
                        EntryEffects &Out) {
@@ -206,7 +212,8 @@
     hasStarted = true;
     it = Queue.Requests.erase(it);
   }
-  // Only a tenant whose next request costs more may save up.
+  // The deficit is carried over only while the next request costs more than it;
+  // otherwise an organisation that cannot use it would accumulate credit.
   if (!isBlockedByDeficit)
     Queue.Deficit = 0;
   return hasStarted || isBlockedByDeficit;
@@ -276,7 +283,7 @@
       State.NextOrganisation = organisations[1];
     if (!needsAnotherRound)
       return;
-    // The last turn's wishes are the ones that stand.
+    // Only the wishes noted in the last round are sent.
     if (round + 1 < MaxRounds)
       State.Tokens.Wishes.clear();
   }
