--- a/entry/responses.cpp
+++ b/entry/responses.cpp
@@ -9,18 +9,20 @@
 
 namespace {
 
-/// An attempt is taken as lost after this silence of its agent.
+/// An attempt is considered lost when its agent has sent nothing for this time.
 constexpr Millis AttemptSilenceTimeout{3000};
-/// An endpoint that refused is left alone for this long.
+/// For this time a request is not sent again to an endpoint that refused it.
 constexpr Millis AvoidPeriod{100};
-/// Retries are a share of the traffic.
+/// Retry budget earned by each completed response. It limits retries to a share
+/// of the traffic.
 constexpr double RetryBudgetPerResponse = 0.2;
 constexpr double MaxRetryBudget = 20;
-/// A piece that others have overtaken must come within this time.
+/// A chunk that is missing while later ones, or the end of the response, have
+/// arrived must arrive within this time.
 constexpr Millis GapTimeout{1000};
-/// Bytes at the end of a passed-on stream that are kept.
+/// Bytes kept of the end of a forwarded stream, to find its end marker.
 constexpr size_t StreamTailBytes = 64;
-/// Reason of an agent that is not the process an attempt was made for.
+/// Reason sent by an agent whose incarnation is not the one the attempt names.
 constexpr std::string_view OtherIncarnationReason = "other_incarnation";
 constexpr std::string_view UsageField = "\"total_tokens\":";
 constexpr std::string_view EventPrefix = "data:";
@@ -30,7 +32,8 @@
   return !Request.ClaimDigest.empty();
 }
 
-/// A stream is passed on as it comes; everything else is held until whole.
+/// True when the response is a successful stream of a repeatable request. It is
+/// forwarded as it arrives; every other response is buffered until complete.
 bool isForwardedAsStream(const RequestState &Request) {
   return Request.Caller.IsStream && Request.IsRepeatable &&
          Request.Status == 200;
@@ -62,13 +65,14 @@
   return true;
 }
 
-/// Tokens that cannot be given back when the answer did not end well.
+/// Tokens that are not returned when the response is not completed: the whole
+/// charge once an attempt was made.
 uint64_t nonRefundableTokens(const RequestState &Request) {
   return Request.Attempts == 0 ? 0 : Request.Charged;
 }
 
-/// Tokens that the whole answer says it used; all that was charged when it
-/// does not say.
+/// Returns the tokens that a complete response used: as reported in its usage
+/// field, else prompt plus number of streamed events, else the whole charge.
 uint64_t usedTokens(const RequestState &Request) {
   size_t at = Request.BufferedBody.rfind(UsageField);
   if (at != std::string::npos) {
@@ -95,8 +99,8 @@
                    !request.IsCallerDisconnected &&
                    request.BrokenAttempts < MaxBrokenAttempts &&
                    !isPast(request.Deadline, Now);
-  // A refusal by an agent costs no endpoint anything: only the deadline
-  // bounds it.
+  // A refusal by an agent puts no load on an endpoint, so it is limited neither
+  // by MaxAttempts nor by the retry budget, only by the deadline.
   bool needsNoBudget = Reason == RetryReason::AgentRefused;
   isAllowed = isAllowed && (needsNoBudget || (request.Attempts < MaxAttempts &&
                                               consumeRetryBudget(State)));
@@ -125,7 +129,8 @@
   return n;
 }
 
-/// The answer cannot be completed: try again or end it openly.
+/// Handles a response that cannot be completed: retries the request, or ends it
+/// with an error.
 void handleBrokenResponse(EntryState &State, const std::string &Id,
                           RetryReason Reason, TimePoint Now,
                           EntryEffects &Out) {
@@ -136,14 +141,15 @@
   retryOrRefuse(State, Id, Reason, RefusalReason::EndpointFailed, Now, Out);
 }
 
-/// Takes the piece that comes next in order.
+/// Appends the next chunk in order, and forwards it if the response is
+/// streamed.
 void appendChunk(RequestState &Request, std::string Bytes, EntryEffects &Out) {
   Request.ReceivedBytes += Bytes.size();
   Request.BufferedBody += Bytes;
   if (!isForwardedAsStream(Request))
     return;
   Request.EventCount += countServerSentEvents(Bytes);
-  // The last bytes are kept to see whether the stream ended as it should.
+  // Keep the last bytes to check that the stream ends with its end marker.
   if (Request.BufferedBody.size() > StreamTailBytes)
     Request.BufferedBody.erase(0,
                                Request.BufferedBody.size() - StreamTailBytes);
@@ -153,7 +159,7 @@
 }
 
 bool isComplete(const RequestState &Request) {
-  // An event stream of completions says itself when it is complete.
+  // A completion's event stream carries its own end marker.
   return !isForwardedAsStream(Request) ||
          Request.BufferedBody.find(StreamEndMarker) != std::string::npos;
 }
@@ -170,20 +176,21 @@
     completeResponse(State, Request, Now, Out);
     return;
   }
-  // The outcome is recorded first, so that a resend finds it.
+  // Record the outcome before responding, so that a resend finds it.
   Request.Stage = RequestStage::Recording;
   Request.Deadline = Now + 4 * timing::ProposalRetry;
   sendClaimProposal(State, Request, Now, Out);
 }
 
-/// Puts together what has come so far; links may change the order of pieces.
+/// Appends received chunks in order of offset, since links may reorder
+/// messages, and finishes the response once all of it has arrived.
 void assembleResponse(EntryState &State, RequestState &Request, TimePoint Now,
                       EntryEffects &Out) {
   while (Request.HasHead && !Request.OutOfOrderChunks.empty()) {
     auto next = Request.OutOfOrderChunks.begin();
     if (next->first > Request.ReceivedBytes)
       break;
-    // What was seen already is a duplicate.
+    // A chunk below the received offset is a duplicate.
     if (next->first == Request.ReceivedBytes)
       appendChunk(Request, std::move(next->second), Out);
     Request.OutOfOrderChunks.erase(next);
@@ -243,7 +250,7 @@
   assembleResponse(State, Request, Now, Out);
 }
 
-/// A piece is missing for so long that it must have been lost.
+/// True when a chunk has been missing for so long that it must have been lost.
 bool hasLostChunk(const RequestState &Request, TimePoint Now) {
   bool hasGap = !Request.OutOfOrderChunks.empty() || Request.BodyLength;
   return hasGap && isPast(Request.GapDeadline, Now);
@@ -267,7 +274,7 @@
                 RefusalReason::NoCapacity, Now, Out);
 }
 
-/// The agent has restarted since the attempt was made for it.
+/// Handles a reply from an agent that has restarted since the attempt was sent.
 void handleOtherIncarnation(EntryState &State, RequestState &Request,
                             TimePoint Now, EntryEffects &Out) {
   Request.MayHaveRun = true;
@@ -277,7 +284,8 @@
                 RefusalReason::EndpointFailed, Now, Out);
 }
 
-/// The agent of an attempt is silent or another one now.
+/// True when the agent of an attempt is silent, has restarted, or its endpoint
+/// is no longer in the view.
 bool isAttemptLost(const EntryState &State, const RequestState &Request,
                    TimePoint Now) {
   const RunningAttempt &attempt = *Request.Attempt;
@@ -298,8 +306,9 @@
                 RefusalReason::EndpointFailed, Now, Out);
 }
 
-/// A running answer ends when its key is withdrawn, or when the view has
-/// been unconfirmed for too long to know.
+/// True when a running attempt must end because its key was withdrawn, or
+/// because the view has been unconfirmed for longer than AnswerGrace, so that a
+/// withdrawal could not be seen.
 bool mustTerminate(const EntryState &State, const RequestState &Request,
                    TimePoint Now) {
   if (Request.Organisation.empty())
@@ -338,7 +347,7 @@
   if (it == State.Requests.end())
     return;
   RequestState &request = it->second;
-  // Late answers of earlier attempts are not this attempt's.
+  // Ignore late replies to earlier attempts.
   if (!request.Attempt || request.Attempts != Reply.number())
     return;
   request.Attempt->LastReplyAt = Now;
@@ -408,7 +417,8 @@
   if (it == State.Requests.end())
     return;
   RequestState &request = it->second;
-  // What may run only once runs to its end, so that its outcome is known.
+  // A request with a claim must run at most once. It runs to its end, so that
+  // its outcome is recorded.
   bool mustFinish =
       hasClaim(request) &&
       (request.Attempt || request.Stage == RequestStage::Recording);
