--- a/entry/caller.h
+++ b/entry/caller.h
@@ -1,6 +1,6 @@
 /// \file
-/// A caller's request as the entry's decisions see it: read from HTTP,
-/// without its key.
+/// A caller's request as the entry's state machine sees it: parsed from HTTP,
+/// with the API key removed.
 #ifndef SASSAFRAS_ENTRY_CALLER_H
 #define SASSAFRAS_ENTRY_CALLER_H
 
@@ -21,22 +21,22 @@
 struct CallerRequest {
   std::string Id;
   std::string Method;
-  std::string Target; ///< Path and query, without a key.
+  std::string Target; ///< Path and query, without the key.
   std::string Path;
-  std::vector<HttpHeader> Headers; ///< None carries the key.
+  std::vector<HttpHeader> Headers; ///< Without those that carry the key.
   std::string Body;
-  std::string KeyHash; ///< Empty when the caller showed none.
+  std::string KeyHash; ///< Empty when the caller sent no key.
   std::string IdempotencyKey;
   std::string Row; ///< Model or adapter; empty for services.
   bool IsStream = false;
-  uint64_t Cost = 0;   ///< Prompt and longest output, in tokens.
-  uint64_t Prompt = 0; ///< Tokens of the prompt alone.
+  uint64_t Cost = 0;   ///< Prompt plus maximum output, in tokens.
+  uint64_t Prompt = 0; ///< Estimated prompt length in tokens.
 };
 
-/// Whether a refused request ran.
+/// Whether a refused request was executed by an endpoint.
 enum class RanState { NotRun, MayHaveRun, Ran };
 
-/// Stable name of \p State.
+/// Stable name of \p State, as in response bodies and logs.
 inline const char *nameOf(RanState State) {
   switch (State) {
   case RanState::NotRun:
@@ -49,11 +49,11 @@
   return "may_have_run";
 }
 
-/// A refusal or a failure, with what the caller can do.
+/// Why a request was refused or failed, and when the caller may retry.
 struct Refusal {
   RefusalReason Reason;
   RanState Ran = RanState::NotRun;
-  std::chrono::seconds RetryAfter{0}; ///< Zero for none.
+  std::chrono::seconds RetryAfter{0}; ///< Zero: no retry-after header.
   std::string Detail = {};
 };
 
--- a/entry/caller_reader.cpp
+++ b/entry/caller_reader.cpp
@@ -12,15 +12,16 @@
 
 namespace json = boost::json;
 
+/// Assumed when estimating the tokens of a prompt from the size of the body.
 constexpr uint64_t BytesPerToken = 4;
 constexpr std::string_view BearerPrefix = "bearer ";
 
-/// Headers that may hold a key, by habit of callers.
+/// Headers in which clients commonly send keys; never forwarded.
 constexpr std::string_view KeyHeaders[] = {
     "authorization",       "x-api-key",      "api-key",
     "proxy-authorization", "x-goog-api-key", "cookie",
 };
-/// Query parameters that may hold a key.
+/// Query parameters that may carry a key.
 constexpr std::string_view KeyParameters[] = {"key", "api_key", "api-key",
                                               "access_token"};
 
@@ -49,7 +50,7 @@
   return {};
 }
 
-/// Takes key parameters out of \p Target and returns the first one's value.
+/// Removes key parameters from \p Target and returns the value of the first.
 std::string extractKeyParameter(std::string &Target) {
   size_t queryStart = Target.find('?');
   if (queryStart == std::string::npos)
@@ -87,13 +88,13 @@
   boost::system::error_code ec;
   json::value value = json::parse(json::string_view(Request.Body), ec);
   if (ec || !value.is_object()) {
-    Problem = "the body is not a JSON object";
+    Problem = "request body is not a JSON object";
     return false;
   }
   const json::object &object = value.as_object();
   const json::value *model = object.if_contains("model");
   if (!model || !model->is_string()) {
-    Problem = "the body names no model";
+    Problem = "request body has no string field \"model\"";
     return false;
   }
   Request.Row = std::string(model->as_string());
@@ -119,7 +120,7 @@
   caller.Target = std::move(Request.Target);
   caller.Body = std::move(Request.Body);
   if (!caller.Target.starts_with('/')) {
-    Problem = "the target is not a path";
+    Problem = "request target does not start with '/'";
     return std::nullopt;
   }
   std::string parameter = extractKeyParameter(caller.Target);
@@ -134,7 +135,7 @@
   }
   if (!key.empty() && (caller.Target.find(key) != std::string::npos ||
                        caller.Body.find(key) != std::string::npos)) {
-    Problem = "the path or body carries the key";
+    Problem = "request target or body contains the API key";
     return std::nullopt;
   }
   if (!key.empty())
--- a/entry/caller_reader.h
+++ b/entry/caller_reader.h
@@ -1,6 +1,6 @@
 /// \file
-/// Reads a caller's HTTP request: finds its key, takes it out everywhere,
-/// and learns what a completion asks for.
+/// Parses a caller's HTTP request: extracts and removes the API key and
+/// reads the model and token limits of a completion.
 #ifndef SASSAFRAS_ENTRY_CALLER_READER_H
 #define SASSAFRAS_ENTRY_CALLER_READER_H
 
@@ -12,17 +12,18 @@
 
 namespace sassafras {
 
-/// Longest output assumed of a completion that does not say.
+/// Maximum output, in tokens, assumed for a completion that sets no limit.
 inline constexpr uint64_t DefaultOutputTokens = 256;
 
-/// Turns \p Request into its form without a key; the key is hashed under
-/// \p Salt. Nothing, with the reason in \p Problem, when it is malformed.
+/// Converts \p Request to a CallerRequest without its key, of which only the
+/// hash with \p Salt is kept. Returns nothing, with the reason in \p Problem,
+/// when the request is malformed or its target or body contains the key.
 /// Thread safe.
 std::optional<CallerRequest> parseCallerRequest(HttpRequest Request,
                                                 const std::string &Salt,
                                                 std::string &Problem);
 
-/// JSON body of a refusal. Thread safe.
+/// Returns the JSON response body of a refusal. Thread safe.
 std::string formatRefusal(const Refusal &Why, const std::string &RequestId);
 
 } // namespace sassafras
