--- a/entry/entry_shell.cpp
+++ b/entry/entry_shell.cpp
@@ -20,7 +20,8 @@
 namespace {
 
 constexpr Millis TickPeriod{20};
-/// The balancer sees that the entry is leaving before it stops accepting.
+/// Time between reporting "not ready" and refusing new connections, so that
+/// load balancers stop routing here first.
 constexpr Millis LoadBalancerNotice{1000};
 constexpr Millis ExitPollInterval{50};
 constexpr Millis ExitDelay{200};
@@ -66,7 +67,7 @@
   Settings Options;
   Metrics &Counts;
   uint64_t Incarnation = 0;
-  EntryState State; ///< Touched by the actor only, once it runs.
+  EntryState State; ///< Used only by the actor once it runs.
   std::unique_ptr<Link> Peers;
   std::unique_ptr<HttpServer> Server;
   boost::asio::steady_timer StopTimer;
@@ -74,11 +75,12 @@
   std::atomic<bool> IsReady{false};
   std::atomic<bool> IsLeaving{false};
   std::atomic<bool> IsDone{false};
-  uint64_t NextRequestNumber = 1; ///< Context's thread.
+  uint64_t NextRequestNumber = 1; ///< Used only on the thread of Io.
+  /// Guards Exchanges, IdByExchange and ModelList.
   std::mutex ExchangeLock;
   std::map<std::string, std::shared_ptr<HttpExchange>> Exchanges;
   std::map<const HttpExchange *, std::string> IdByExchange;
-  std::string ModelList; ///< Answer to /v1/models, under ExchangeLock.
+  std::string ModelList; ///< Response body of /v1/models.
   uint64_t ModelListVersion = 0;
 };
 
@@ -135,7 +137,8 @@
   Exchange.respond(200, fields, ModelList);
 }
 
-/// Answers the entry's own paths; false for callers' requests.
+/// Responds to the entry's built-in paths (status pages and /v1/models).
+/// Returns false for requests that are to be routed to endpoints.
 bool EntryShell::serveBuiltInPath(const HttpRequest &Request,
                                   HttpExchange &Exchange) {
   if (serveStatusPage(Request, Exchange, Counts, IsReady && !IsLeaving))
@@ -265,8 +268,8 @@
   ModelListVersion = State.View.Version;
 }
 
-/// First the balancer is told, then the door closes, then all that runs
-/// comes to its end.
+/// Starts a graceful stop: reports "not ready" to load balancers, then stops
+/// accepting connections, then waits for open requests.
 void EntryShell::beginStop() {
   if (IsLeaving.exchange(true))
     return;
@@ -288,7 +291,8 @@
       return;
     }
     self->Peers->close();
-    // The actor holds the shell and would keep the process alive.
+    // The actor holds a reference to the shell and would keep the process
+    // alive.
     caf::anon_send_exit(self->Role, caf::exit_reason::user_shutdown);
     self->Io.stop();
   });
--- a/entry/entry_shell.h
+++ b/entry/entry_shell.h
@@ -1,6 +1,6 @@
 /// \file
-/// Shell of a process: callers' HTTP, link and actor around an entry's
-/// decisions.
+/// Runs an entry in a process: HTTP server for callers, link to other nodes,
+/// and the actor that steps the entry's state machine.
 #ifndef SASSAFRAS_ENTRY_ENTRY_SHELL_H
 #define SASSAFRAS_ENTRY_ENTRY_SHELL_H
 
@@ -8,7 +8,8 @@
 
 namespace sassafras {
 
-/// Makes the shell; nothing runs before its start.
+/// Creates the shell; nothing runs before RoleShell::start. \p Parts must
+/// outlive it.
 std::shared_ptr<RoleShell> makeEntryShell(const ShellParts &Parts);
 
 } // namespace sassafras
