--- a/tests/entry/test_entry_state.cpp
+++ b/tests/entry/test_entry_state.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Contract of the entry at the moments when its view changes.
+/// Tests of the entry's state machine around changes of its view.
 #include "entry/entry_state.h"
 
 #include <catch2/catch.hpp>
@@ -10,26 +10,27 @@
 
 const TimePoint Start = TimePoint() + std::chrono::hours(1);
 
-/// An entry whose leader tells it items.
-struct Bench {
-  Bench() {
+/// An entry with a confirmed view. Items added to Reply reach it with
+/// deliverHeartbeatReply.
+struct EntryFixture {
+  EntryFixture() {
     State.Options = {"entry-1", "zone"};
     State.View.ControlAddresses = {"control"};
     stepEntry(State, EntryTick{}, Now);
-    row("alpha", wire::ROW_TENANT);
-    row("m1", wire::ROW_MODEL);
-    key(false);
-    tell();
+    addRow("alpha", wire::ROW_TENANT);
+    addRow("m1", wire::ROW_MODEL);
+    setKey(false);
+    deliverHeartbeatReply();
   }
 
-  wire::Item &item(const std::string &Name) {
+  wire::Item &addItem(const std::string &Name) {
     wire::Item &it = *Reply.add_items();
     it.set_name(Name);
     it.set_version(Version + 1);
     return it;
   }
-  void row(const std::string &Name, wire::RowKind Kind) {
-    wire::TableRow &it = *item("row/" + Name).mutable_row();
+  void addRow(const std::string &Name, wire::RowKind Kind) {
+    wire::TableRow &it = *addItem("row/" + Name).mutable_row();
     it.set_name(Name);
     it.set_kind(Kind);
     it.set_weight(1);
@@ -38,24 +39,24 @@
     it.set_repeatable(true);
     it.set_longest_wait_ms(8000);
   }
-  void key(bool IsGone) {
-    wire::Item &it = item("key/k");
+  void setKey(bool IsGone) {
+    wire::Item &it = addItem("key/k");
     it.set_deleted(IsGone);
     it.mutable_key()->set_key_hash("hash");
     it.mutable_key()->set_tenant("alpha");
   }
-  void loaded() {
-    wire::Replica &it = *item("replica/e/m1").mutable_replica();
+  void addLoadedReplica() {
+    wire::Replica &it = *addItem("replica/e/m1").mutable_replica();
     it.set_row("m1");
     it.set_endpoint("e");
     it.set_phase(wire::PHASE_LOADED);
-    wire::Endpoint &endpoint = *item("endpoint/e").mutable_endpoint();
+    wire::Endpoint &endpoint = *addItem("endpoint/e").mutable_endpoint();
     endpoint.set_name("e");
     endpoint.set_address("e");
     endpoint.set_ready(true);
     endpoint.set_slots(4);
   }
-  EntryEffects tell() {
+  EntryEffects deliverHeartbeatReply() {
     Reply.set_number(State.View.NextNumber - 1);
     Reply.set_term(1);
     Reply.set_is_leader(true);
@@ -67,9 +68,9 @@
     Reply.Clear();
     return stepEntry(State, EntryReceived{message}, Now);
   }
-  EntryEffects call(uint64_t Cost) {
+  EntryEffects submitRequest(uint64_t Cost) {
     CallerRequest request;
-    request.Id = "r" + std::to_string(++Serial);
+    request.Id = "r" + std::to_string(++LastRequestNumber);
     request.Method = "POST";
     request.Path = request.Target = "/v1/completions";
     request.KeyHash = "hash";
@@ -82,7 +83,7 @@
   TimePoint Now = Start;
   wire::HeartbeatReply Reply;
   uint64_t Version = 0;
-  int Serial = 0;
+  int LastRequestNumber = 0;
 };
 
 int countAttempts(const EntryEffects &Effects) {
@@ -93,7 +94,7 @@
   return n;
 }
 
-std::optional<RefusalReason> refusalIn(const EntryEffects &Effects) {
+std::optional<RefusalReason> refusalReasonIn(const EntryEffects &Effects) {
   for (const EntryEffect &it : Effects)
     if (auto *refusal = std::get_if<RefusalResponse>(&it))
       return refusal->Why.Reason;
@@ -103,43 +104,48 @@
 } // namespace
 
 TEST_CASE("queued request does not start in the step that withdraws its key") {
-  Bench bench;
-  CHECK_FALSE(refusalIn(bench.call(0)));
-  bench.key(true);
-  bench.loaded();
-  CHECK(countAttempts(bench.tell()) == 0);
-  CHECK(refusalIn(stepEntry(bench.State, EntryTick{}, bench.Now)) ==
+  EntryFixture fixture;
+  CHECK_FALSE(refusalReasonIn(fixture.submitRequest(0)));
+  fixture.setKey(true);
+  fixture.addLoadedReplica();
+  CHECK(countAttempts(fixture.deliverHeartbeatReply()) == 0);
+  CHECK(refusalReasonIn(stepEntry(fixture.State, EntryTick{}, fixture.Now)) ==
         RefusalReason::KeyUnknown);
 }
 
 TEST_CASE("queued request starts when its model is loaded") {
-  Bench bench;
-  bench.call(0);
-  bench.loaded();
-  CHECK(countAttempts(bench.tell()) == 1);
+  EntryFixture fixture;
+  fixture.submitRequest(0);
+  fixture.addLoadedReplica();
+  CHECK(countAttempts(fixture.deliverHeartbeatReply()) == 1);
 }
 
 TEST_CASE("keyed request is refused once the view is not confirmed") {
-  Bench bench;
-  bench.Now += Millis(3001);
-  CHECK(refusalIn(bench.call(0)) == RefusalReason::KeyUnconfirmed);
+  EntryFixture fixture;
+  fixture.Now += Millis(3001);
+  CHECK(refusalReasonIn(fixture.submitRequest(0)) ==
+        RefusalReason::KeyUnconfirmed);
 }
 
 TEST_CASE("request that costs more than the burst is refused at once") {
-  Bench bench;
-  CHECK(refusalIn(bench.call(101)) == RefusalReason::CostAboveBurst);
+  EntryFixture fixture;
+  CHECK(refusalReasonIn(fixture.submitRequest(101)) ==
+        RefusalReason::CostAboveBurst);
 }
 
+// A row whose requests wait only for tokens is left out of the reported demand.
+// If it also did not count as reported, it would cause early heartbeats for as
+// long as the requests wait.
 TEST_CASE("rows that wait for tokens only cause no extra heartbeats") {
-  Bench bench;
+  EntryFixture fixture;
   for (int i = 0; i < 6; ++i)
-    bench.call(100);
-  int beats = 0;
+    fixture.submitRequest(100);
+  int heartbeats = 0;
   for (int i = 0; i < 100; ++i) {
-    bench.Now += Millis(20);
-    for (EntryEffect &it : stepEntry(bench.State, EntryTick{}, bench.Now))
+    fixture.Now += Millis(20);
+    for (EntryEffect &it : stepEntry(fixture.State, EntryTick{}, fixture.Now))
       if (auto *send = std::get_if<EntrySend>(&it))
-        beats += send->Message.has_heartbeat();
+        heartbeats += send->Message.has_heartbeat();
   }
-  CHECK(beats <= 5);
+  CHECK(heartbeats <= 5);
 }
