--- a/bench/site.cpp
+++ b/bench/site.cpp
@@ -244,15 +244,15 @@
       else
         transmit(state.Options.Name, message->Address,
                  std::move(message->Message));
-    } else if (auto *head = std::get_if<AnswerHead>(&it)) {
+    } else if (auto *head = std::get_if<ResponseHead>(&it)) {
       size_t index = ArrivalOf.at(head->Id);
       std::chrono::duration<double> wait = Now - Arrivals[index].At;
       Outcomes[index].Wait = wait.count();
       Outcomes[index].IsServed = true;
-    } else if (auto *cold = std::get_if<ObserveCold>(&it)) {
+    } else if (auto *cold = std::get_if<ObserveColdStart>(&it)) {
       std::chrono::duration<double> wait = cold->Wait;
       Result.ColdSeconds.push_back(wait.count());
-    } else if (auto *refusal = std::get_if<AnswerRefusal>(&it)) {
+    } else if (auto *refusal = std::get_if<RefusalResponse>(&it)) {
       Outcomes[ArrivalOf.at(refusal->Id)].IsRateRefused =
           refusal->Why.Reason == RefusalReason::RateExceeded;
     }
--- a/entry/caller_reader.cpp
+++ b/entry/caller_reader.cpp
@@ -12,15 +12,16 @@
 
 namespace json = boost::json;
 
+/// Assumed when estimating the tokens of a prompt from the size of the body.
 constexpr uint64_t BytesPerToken = 4;
 constexpr std::string_view BearerPrefix = "bearer ";
 
-/// Headers that may hold a key, by habit of callers.
+/// Headers in which clients commonly send keys; never forwarded.
 constexpr std::string_view KeyHeaders[] = {
     "authorization",       "x-api-key",      "api-key",
     "proxy-authorization", "x-goog-api-key", "cookie",
 };
-/// Query parameters that may hold a key.
+/// Query parameters that may carry a key.
 constexpr std::string_view KeyParameters[] = {"key", "api_key", "api-key",
                                               "access_token"};
 
@@ -38,7 +39,7 @@
   return true;
 }
 
-std::string keyInHeaders(const std::vector<HttpField> &Fields) {
+std::string findKeyInHeaders(const std::vector<HttpField> &Fields) {
   for (std::string_view name : {"authorization", "x-api-key", "api-key"}) {
     std::string_view value = fieldOf(Fields, name);
     if (startsWithBearer(value))
@@ -49,14 +50,14 @@
   return {};
 }
 
-/// Takes key parameters out of \p Target and returns the first one's value.
-std::string takeKeyParameter(std::string &Target) {
-  size_t mark = Target.find('?');
-  if (mark == std::string::npos)
+/// Removes key parameters from \p Target and returns the value of the first.
+std::string extractKeyParameter(std::string &Target) {
+  size_t queryStart = Target.find('?');
+  if (queryStart == std::string::npos)
     return {};
   std::string key;
   std::string kept;
-  std::string_view rest = std::string_view(Target).substr(mark + 1);
+  std::string_view rest = std::string_view(Target).substr(queryStart + 1);
   while (!rest.empty()) {
     size_t n = std::min(rest.find('&'), rest.size());
     std::string_view part = rest.substr(0, n);
@@ -69,13 +70,14 @@
     else if (key.empty() && equals < part.size())
       key = std::string(part.substr(equals + 1));
   }
-  Target.resize(mark);
+  Target.resize(queryStart);
   if (!kept.empty())
     Target += "?" + kept;
   return key;
 }
 
-uint64_t numberIn(const json::object &Object, std::string_view Name) {
+uint64_t positiveIntegerField(const json::object &Object,
+                              std::string_view Name) {
   const json::value *it = Object.if_contains(Name);
   if (it && it->is_int64() && it->as_int64() > 0)
     return static_cast<uint64_t>(it->as_int64());
@@ -86,20 +88,21 @@
   boost::system::error_code ec;
   json::value value = json::parse(json::string_view(Request.Body), ec);
   if (ec || !value.is_object()) {
-    Problem = "the body is not a JSON object";
+    Problem = "request body is not a JSON object";
     return false;
   }
   const json::object &object = value.as_object();
   const json::value *model = object.if_contains("model");
   if (!model || !model->is_string()) {
-    Problem = "the body names no model";
+    Problem = "request body has no string field \"model\"";
     return false;
   }
   Request.Row = std::string(model->as_string());
   const json::value *stream = object.if_contains("stream");
   Request.IsStream = stream && stream->is_bool() && stream->as_bool();
-  uint64_t output = numberIn(object, "max_tokens");
-  output = std::max(output, numberIn(object, "max_completion_tokens"));
+  uint64_t output = positiveIntegerField(object, "max_tokens");
+  output =
+      std::max(output, positiveIntegerField(object, "max_completion_tokens"));
   if (output == 0)
     output = DefaultOutputTokens;
   Request.Prompt = Request.Body.size() / BytesPerToken + 1;
@@ -109,18 +112,19 @@
 
 } // namespace
 
-std::optional<CallerRequest>
-readCaller(HttpRequest Request, const std::string &Salt, std::string &Problem) {
+std::optional<CallerRequest> parseCallerRequest(HttpRequest Request,
+                                                const std::string &Salt,
+                                                std::string &Problem) {
   CallerRequest caller;
   caller.Method = std::move(Request.Method);
   caller.Target = std::move(Request.Target);
   caller.Body = std::move(Request.Body);
   if (!caller.Target.starts_with('/')) {
-    Problem = "the target is not a path";
+    Problem = "request target does not start with '/'";
     return std::nullopt;
   }
-  std::string parameter = takeKeyParameter(caller.Target);
-  std::string key = keyInHeaders(Request.Fields);
+  std::string parameter = extractKeyParameter(caller.Target);
+  std::string key = findKeyInHeaders(Request.Fields);
   if (key.empty())
     key = parameter;
   for (const HttpField &it : Request.Fields) {
@@ -131,7 +135,7 @@
   }
   if (!key.empty() && (caller.Target.find(key) != std::string::npos ||
                        caller.Body.find(key) != std::string::npos)) {
-    Problem = "the path or body carries the key";
+    Problem = "request target or body contains the API key";
     return std::nullopt;
   }
   if (!key.empty())
@@ -146,7 +150,7 @@
   return caller;
 }
 
-std::string printRefusal(const Refusal &Why, const std::string &RequestId) {
+std::string formatRefusal(const Refusal &Why, const std::string &RequestId) {
   json::object error;
   error["reason"] = nameOf(Why.Reason);
   error["ran"] = nameOf(Why.Ran);
--- a/entry/dispatch.cpp
+++ b/entry/dispatch.cpp
@@ -1,4 +1,4 @@
-#include "entry/entry_parts.h"
+#include "entry/entry_internal.h"
 
 #include "core/hash.h"
 #include "core/timing.h"
@@ -9,26 +9,27 @@
 
 namespace {
 
-/// Tokens that a weight of one earns in each turn.
-constexpr double TurnTokens = 512;
-/// Requests of one tenant looked at in one turn.
+/// Deficit round robin quantum: tokens added per unit of weight in each round.
+constexpr double QuantumTokens = 512;
+/// Maximum number of requests of one organisation examined in one round.
 constexpr size_t MaxLookAhead = 64;
-/// Turns in one go, so that a step stays short.
-constexpr int MaxTurns = 64;
-/// An unacknowledged attempt is sent again after this silence.
-constexpr Millis AttemptResend{400};
-/// Bytes of the body that stand for its prefix.
-constexpr size_t PrefixBytes = 512;
-/// Own requests that the prefix's endpoint may have above the least loaded.
-constexpr uint32_t PrefixSlack = 2;
+/// Maximum number of rounds in one step, so that a step stays short.
+constexpr int MaxRounds = 64;
+/// An unacknowledged attempt is sent again after this time.
+constexpr Millis AttemptResendInterval{400};
+/// Leading bytes of the body that are hashed for prefix affinity.
+constexpr size_t PrefixHashBytes = 512;
+/// How many more requests of this entry may be in flight at the endpoint with
+/// prefix affinity than at the least loaded one.
+constexpr uint32_t PrefixLoadSlack = 2;
 
-/// How one candidate endpoint compares.
+/// An endpoint that can take a request, with the criteria for choosing it.
 struct Candidate {
   const wire::Endpoint *Endpoint = nullptr;
   uint64_t Fence = 0;
   uint32_t InFlight = 0;
   uint64_t PrefixRank = 0;
-  bool IsNear = false;
+  bool IsSameZone = false;
 };
 
 uint32_t inFlightAt(const EntryState &State, const std::string &Endpoint) {
@@ -40,19 +41,20 @@
                                       const RequestState &Request,
                                       TimePoint Now) {
   std::vector<Candidate> found;
-  auto names = State.Index.EndpointsOfRow.find(Request.Row);
-  if (names == State.Index.EndpointsOfRow.end())
+  auto names = State.Index.EndpointsByRow.find(Request.Row);
+  if (names == State.Index.EndpointsByRow.end())
     return found;
-  std::string prefix = Request.Caller.Body.substr(0, PrefixBytes);
+  std::string prefix = Request.Caller.Body.substr(0, PrefixHashBytes);
   for (const std::string &it : names->second) {
     const wire::Endpoint *endpoint = findEndpoint(State.View.Items, it);
-    bool isOpen = endpoint && endpoint->ready() && !endpoint->leaving();
-    if (!isOpen)
+    bool isAvailable = endpoint && endpoint->ready() && !endpoint->leaving();
+    if (!isAvailable)
       continue;
-    bool isAvoided = Now < Request.AvoidUntil && Request.Avoid.contains(it);
+    bool isAvoided =
+        Now < Request.AvoidUntil && Request.AvoidedEndpoints.contains(it);
     uint32_t inFlight = inFlightAt(State, it);
     if (isAvoided || inFlight >= endpoint->slots() ||
-        (Request.IsSuspect && inFlight > 0))
+        (Request.RunsAlone && inFlight > 0))
       continue;
     Candidate candidate{endpoint, 0, inFlight, checksumOf(prefix + it),
                         endpoint->zone() == State.Options.Zone};
@@ -64,8 +66,10 @@
   return found;
 }
 
-/// The endpoint of the request's prefix unless it is clearly more loaded;
-/// else the least loaded, a near one first.
+/// Returns the endpoint with prefix affinity (highest rendezvous hash), or the
+/// least loaded one, preferring the own zone, if the former is clearly more
+/// loaded or is in another zone while the latter is not. Null without
+/// candidates.
 const Candidate *chooseCandidate(const std::vector<Candidate> &Candidates) {
   if (Candidates.empty())
     return nullptr;
@@ -74,15 +78,15 @@
   for (const Candidate &it : Candidates) {
     bool isBetter =
         it.InFlight < least->InFlight ||
-        (it.InFlight == least->InFlight && it.IsNear && !least->IsNear);
+        (it.InFlight == least->InFlight && it.IsSameZone && !least->IsSameZone);
     if (isBetter)
       least = &it;
     if (it.PrefixRank > affine->PrefixRank)
       affine = &it;
   }
-  bool isFar = least->IsNear && !affine->IsNear;
-  bool isLoaded = affine->InFlight > least->InFlight + PrefixSlack;
-  return isFar || isLoaded ? least : affine;
+  bool isOtherZone = least->IsSameZone && !affine->IsSameZone;
+  bool isLoaded = affine->InFlight > least->InFlight + PrefixLoadSlack;
+  return isOtherZone || isLoaded ? least : affine;
 }
 
 wire::Envelope makeAttempt(const EntryState &State, const RequestState &Request,
@@ -99,7 +103,7 @@
   out.set_remaining_ms(toMillis(attempt.HeadDeadline - Now));
   out.set_row(Request.Row);
   out.set_fence(attempt.Fence);
-  out.set_alone(Request.IsSuspect);
+  out.set_alone(Request.RunsAlone);
   out.set_digest(Request.Digest);
   out.set_method(Request.Caller.Method);
   out.set_target(Request.Caller.Target);
@@ -119,29 +123,31 @@
   attempt.Address = Choice.Endpoint->address();
   attempt.Incarnation = Choice.Endpoint->incarnation();
   attempt.Fence = Choice.Fence;
-  attempt.LastHeard = Now;
+  attempt.LastReplyAt = Now;
   attempt.HeadDeadline = Now + Request.LongestWait;
   Request.Attempt = attempt;
   Request.Stage = RequestStage::Running;
   ++Request.Attempts;
   Request.HasHead = false;
-  Request.Received = 0;
-  Request.Events = 0;
-  Request.Held.clear();
-  Request.Early.clear();
-  Request.Length.reset();
+  Request.ReceivedBytes = 0;
+  Request.EventCount = 0;
+  Request.BufferedBody.clear();
+  Request.OutOfOrderChunks.clear();
+  Request.BodyLength.reset();
   ++State.InFlight[attempt.Endpoint];
   resendAttempt(State, Request, Now, Out);
 }
 
-/// Charges the request unless an earlier attempt was charged. False, with
-/// the wish noted, when the tenant's tokens are not at hand.
+/// Charges the request unless an earlier attempt was charged. Returns false,
+/// and notes the tokens to be requested, when the organisation holds too few
+/// here.
 bool charge(EntryState &State, RequestState &Request, TimePoint Now) {
-  bool isFree = Request.Tenant.empty() || Request.Caller.Cost == 0;
+  bool isFree = Request.Organisation.empty() || Request.Caller.Cost == 0;
   if (isFree || Request.Charged > 0)
     return true;
-  if (!spendTokens(State.Tokens, Request.Tenant, Request.Caller.Cost, Now)) {
-    wishTokens(State.Tokens, Request.Tenant, Request.Caller.Cost);
+  if (!spendTokens(State.Tokens, Request.Organisation, Request.Caller.Cost,
+                   Now)) {
+    wishTokens(State.Tokens, Request.Organisation, Request.Caller.Cost);
     return false;
   }
   Request.Charged = Request.Caller.Cost;
@@ -153,17 +159,17 @@
 
 StartResult tryStart(EntryState &State, RequestState &Request, TimePoint Now,
                      EntryEffects &Out) {
-  if (!Request.Tenant.empty() && !isConfirmed(State.View, Now))
+  if (!Request.Organisation.empty() && !isConfirmed(State.View, Now))
     return StartResult::NoView;
-  // The key may have gone since the request was admitted.
+  // The key may have been withdrawn since the request was admitted.
   if (!isKeyValid(State, Request))
     return StartResult::NoKey;
   auto candidates = listCandidates(State, Request, Now);
   const Candidate *choice = chooseCandidate(candidates);
   if (!choice) {
-    auto names = State.Index.EndpointsOfRow.find(Request.Row);
-    bool isLoaded = names != State.Index.EndpointsOfRow.end();
-    Request.WasCold |= !isLoaded && Request.Attempts == 0;
+    auto names = State.Index.EndpointsByRow.find(Request.Row);
+    bool isLoaded = names != State.Index.EndpointsByRow.end();
+    Request.IsColdStart |= !isLoaded && Request.Attempts == 0;
     return StartResult::NoEndpoint;
   }
   if (!charge(State, Request, Now))
@@ -172,24 +178,27 @@
   return StartResult::Started;
 }
 
-double weightOf(const EntryState &State, const std::string &Tenant) {
-  const wire::TableRow *row = findRow(State.View.Items, Tenant);
+double weightOf(const EntryState &State, const std::string &Organisation) {
+  const wire::TableRow *row = findRow(State.View.Items, Organisation);
   return row ? std::max(1U, row->weight()) : 1.0;
 }
 
-/// One turn of one tenant; true when something started.
-bool takeTurn(EntryState &State, const std::string &Tenant, TenantQueue &Queue,
-              TimePoint Now, EntryEffects &Out) {
-  Queue.Deficit += TurnTokens * weightOf(State, Tenant);
+/// Serves one organisation in one round. Returns true when a further round may
+/// start more: a request was started, or the next one costs more than the
+/// deficit.
+bool serveOrganisation(EntryState &State, const std::string &Organisation,
+                       OrganisationQueue &Queue, TimePoint Now,
+                       EntryEffects &Out) {
+  Queue.Deficit += QuantumTokens * weightOf(State, Organisation);
   bool hasStarted = false;
-  bool isHeldByDeficit = false;
-  size_t looked = 0;
+  bool isBlockedByDeficit = false;
+  size_t examined = 0;
   for (auto it = Queue.Requests.begin();
-       it != Queue.Requests.end() && looked < MaxLookAhead; ++looked) {
+       it != Queue.Requests.end() && examined < MaxLookAhead; ++examined) {
     RequestState &request = State.Requests.at(*it);
     auto cost = static_cast<double>(std::max<uint64_t>(request.Caller.Cost, 1));
     if (cost > Queue.Deficit) {
-      isHeldByDeficit = true;
+      isBlockedByDeficit = true;
       break;
     }
     StartResult result = tryStart(State, request, Now, Out);
@@ -203,35 +212,36 @@
     hasStarted = true;
     it = Queue.Requests.erase(it);
   }
-  // Only a tenant whose next request costs more may save up.
-  if (!isHeldByDeficit)
+  // The deficit is carried over only while the next request costs more than it;
+  // otherwise an organisation that cannot use it would accumulate credit.
+  if (!isBlockedByDeficit)
     Queue.Deficit = 0;
-  return hasStarted || isHeldByDeficit;
+  return hasStarted || isBlockedByDeficit;
 }
 
-std::vector<std::string> tenantsInTurn(const EntryState &State) {
-  std::vector<std::string> tenants;
-  for (const auto &[tenant, queue] : State.Queues)
+std::vector<std::string> organisationsInRoundOrder(const EntryState &State) {
+  std::vector<std::string> organisations;
+  for (const auto &[organisation, queue] : State.Queues)
     if (!queue.Requests.empty())
-      tenants.push_back(tenant);
-  auto first =
-      std::lower_bound(tenants.begin(), tenants.end(), State.NextTenant);
-  std::rotate(tenants.begin(), first, tenants.end());
-  return tenants;
+      organisations.push_back(organisation);
+  auto first = std::lower_bound(organisations.begin(), organisations.end(),
+                                State.NextOrganisation);
+  std::rotate(organisations.begin(), first, organisations.end());
+  return organisations;
 }
 
-Refusal overdueRefusal(const EntryState &State, const RequestState &Request,
+Refusal expiredRefusal(const EntryState &State, const RequestState &Request,
                        TimePoint Now) {
   Refusal why{
       RefusalReason::NoCapacity, RanState::NotRun, std::chrono::seconds(5), {}};
   if (Request.Stage == RequestStage::Claiming)
-    why.Reason = Request.HasTwin ? RefusalReason::Duplicate
-                                 : RefusalReason::ClaimUnavailable;
-  else if (!Request.Tenant.empty() && !isConfirmed(State.View, Now))
+    why.Reason = Request.IsClaimHeldByOther ? RefusalReason::Duplicate
+                                            : RefusalReason::ClaimUnavailable;
+  else if (!Request.Organisation.empty() && !isConfirmed(State.View, Now))
     why.Reason = RefusalReason::KeyUnconfirmed;
-  else if (State.Index.EndpointsOfRow.contains(Request.Row))
+  else if (State.Index.EndpointsByRow.contains(Request.Row))
     why.Reason = Request.Charged == 0 && Request.Caller.Cost > 0 &&
-                         !Request.Tenant.empty()
+                         !Request.Organisation.empty()
                      ? RefusalReason::RateExceeded
                      : RefusalReason::DeadlineUnreachable;
   return why;
@@ -241,7 +251,7 @@
 
 void enqueue(EntryState &State, RequestState &Request, bool AtFront) {
   Request.Stage = RequestStage::Queued;
-  auto &queue = State.Queues[Request.Tenant].Requests;
+  auto &queue = State.Queues[Request.Organisation].Requests;
   if (AtFront)
     queue.push_front(Request.Caller.Id);
   else
@@ -250,35 +260,37 @@
 
 void resendAttempt(EntryState &State, RequestState &Request, TimePoint Now,
                    EntryEffects &Out) {
-  Request.Attempt->NextResend = Now + AttemptResend;
+  Request.Attempt->NextResend = Now + AttemptResendInterval;
   Out.push_back(
       EntrySend{Request.Attempt->Address, makeAttempt(State, Request, Now)});
 }
 
 void dequeue(EntryState &State, const RequestState &Request) {
-  auto queue = State.Queues.find(Request.Tenant);
+  auto queue = State.Queues.find(Request.Organisation);
   if (queue != State.Queues.end())
     std::erase(queue->second.Requests, Request.Caller.Id);
 }
 
 void dispatchRequests(EntryState &State, TimePoint Now, EntryEffects &Out) {
   State.Tokens.Wishes.clear();
-  for (int turn = 0; turn < MaxTurns; ++turn) {
-    std::vector<std::string> tenants = tenantsInTurn(State);
-    bool isBusy = false;
-    for (const std::string &it : tenants)
-      isBusy |= takeTurn(State, it, State.Queues[it], Now, Out);
-    if (tenants.size() > 1)
-      State.NextTenant = tenants[1];
-    if (!isBusy)
+  for (int round = 0; round < MaxRounds; ++round) {
+    std::vector<std::string> organisations = organisationsInRoundOrder(State);
+    bool needsAnotherRound = false;
+    for (const std::string &it : organisations)
+      needsAnotherRound |=
+          serveOrganisation(State, it, State.Queues[it], Now, Out);
+    if (organisations.size() > 1)
+      State.NextOrganisation = organisations[1];
+    if (!needsAnotherRound)
       return;
-    // The last turn's wishes are the ones that stand.
-    if (turn + 1 < MaxTurns)
+    // Only the wishes noted in the last round are sent.
+    if (round + 1 < MaxRounds)
       State.Tokens.Wishes.clear();
   }
 }
 
-void refuseOverdue(EntryState &State, TimePoint Now, EntryEffects &Out) {
+void refuseExpiredRequests(EntryState &State, TimePoint Now,
+                           EntryEffects &Out) {
   std::vector<std::string> waiting;
   for (const auto &[id, request] : State.Requests)
     if (request.Stage == RequestStage::Queued ||
@@ -291,7 +303,7 @@
     else if (isQuarantined(State, request, Now))
       refuseRequest(State, it, {RefusalReason::Quarantined}, Now, Out);
     else if (isPast(request.Deadline, Now))
-      refuseRequest(State, it, overdueRefusal(State, request, Now), Now, Out);
+      refuseRequest(State, it, expiredRefusal(State, request, Now), Now, Out);
   }
 }
 
--- a/tests/fleet_run/fleet_driver.cpp
+++ b/tests/fleet_run/fleet_driver.cpp
@@ -36,15 +36,12 @@
 } // namespace
 
 std::vector<wire::TableRow> runTable() {
-  const char *csv = "kind,name,base,memory_mb,max_replicas,weight,rate,burst,"
-                    "longest_wait_s,path,repeatable,repeat_window_s\n"
-                    "organisation,alpha,,,,2,100,400,,,,\n"
-                    "organisation,beta,,,,1,50,200,,,,\n"
-                    "model,m1,,400,2,1,,,8,,,\n"
-                    "model,m2,,500,1,1,,,8,,,\n"
-                    "model,m3,,700,1,2,,,8,,,\n"
-                    "adapter,a1,m1,100,2,1,,,8,,,\n"
-                    "service,pay,,,,1,,,6,/pay,no,3600\n";
+  const char *csv =
+      "kind,name,base,memory_mb,max_replicas,weight,rate,burst,longest_wait_s,"
+      "path,repeatable,repeat_window_s\norganisation,alpha,,,,2,100,400,,,,"
+      "\norganisation,beta,,,,1,50,200,,,,\nmodel,m1,,400,2,1,,,8,,,\nmodel,m2,"
+      ",500,1,1,,,8,,,\nmodel,m3,,700,1,2,,,8,,,\nadapter,a1,m1,100,2,1,,,8,,,"
+      "\nservice,pay,,,,1,,,6,/pay,no,3600\n";
   TableProblem problem;
   return *parseTable(csv, problem);
 }
@@ -460,11 +457,11 @@
   for (EntryEffect &it : effects) {
     if (auto *message = std::get_if<EntrySend>(&it)) {
       transmit(Node.Name, message->Address, std::move(message->Message));
-    } else if (auto *head = std::get_if<AnswerHead>(&it)) {
+    } else if (auto *head = std::get_if<ResponseHead>(&it)) {
       Callers[head->Id].HasHead = true;
-    } else if (auto *body = std::get_if<AnswerBody>(&it)) {
+    } else if (auto *body = std::get_if<ResponseBody>(&it)) {
       Callers[body->Id].Got += body->Bytes;
-    } else if (auto *end = std::get_if<AnswerEnd>(&it)) {
+    } else if (auto *end = std::get_if<ResponseEnd>(&it)) {
       finish(end->Id);
       CallerRecord &caller = Callers[end->Id];
       caller.IsAnswered = true;
@@ -473,13 +470,13 @@
           charge.Tokens = static_cast<double>(usedBy(caller.Request));
       if (caller.Got != answerTo(caller.Request))
         fail("request " + end->Id + " got a wrong answer: " + caller.Got);
-    } else if (auto *refusal = std::get_if<AnswerRefusal>(&it)) {
+    } else if (auto *refusal = std::get_if<RefusalResponse>(&it)) {
       finish(refusal->Id);
       CallerRecord &caller = Callers[refusal->Id];
       caller.Why = refusal->Why;
       if (refusal->Why.Ran == RanState::NotRun && caller.Runs > 0)
         fail("request " + refusal->Id + " ran but is said not to have run");
-    } else if (auto *broken = std::get_if<AnswerAbort>(&it)) {
+    } else if (auto *broken = std::get_if<ResponseAbort>(&it)) {
       finish(broken->Id);
     }
   }
@@ -681,12 +678,13 @@
 void FleetDriver::checkEntry(const EntryNode &Node) {
   const OutcomeCounts &counts = Node.State.Counts;
   if (counts.Accepted != counts.Answered + counts.Refused + counts.Failed +
-                             counts.Cancelled + countHeld(Node.State))
+                             counts.Cancelled +
+                             countPendingRequests(Node.State))
     fail("outcomes of " + Node.Name + " do not add up");
   for (const auto &[id, request] : Node.State.Requests)
     if (request.Charged > 0 && SeenCharges.insert(id).second)
-      Charges.push_back(
-          {Now, request.Tenant, id, static_cast<double>(request.Charged)});
+      Charges.push_back({Now, request.Organisation, id,
+                         static_cast<double>(request.Charged)});
   uint64_t &newest = NewestView[Node.Name];
   if (Node.State.View.Version < newest)
     fail("view of " + Node.Name + " went back");
