--- a/policy/endpoint_choice.cpp
+++ b/policy/endpoint_choice.cpp
@@ -97,7 +97,7 @@
   ++Record.SentSinceReport;
 }
 
-void noteLoad(EndpointRecord &Record, uint32_t Load, ReportLife Life,
+void noteLoad(EndpointRecord &Record, uint32_t Load, ReportLifetime Life,
               TimePoint Now) {
   Record.ReportedLoad = Load;
   Record.SentSinceReport = 0;
--- a/policy/endpoint_choice.h
+++ b/policy/endpoint_choice.h
@@ -44,12 +44,12 @@
 /// then less and less until the second: what it told of has ended by then, and
 /// without a send no newer report may come. Of engines, whose requests run for
 /// a second or two; of plain services, whose requests take some milliseconds.
-struct ReportLife {
+struct ReportLifetime {
   Millis Full;
   Millis Most;
 };
-inline constexpr ReportLife EngineReportLife{Millis(800), Millis(3'000)};
-inline constexpr ReportLife PlainReportLife{Millis(50), Millis(250)};
+inline constexpr ReportLifetime EngineReportLife{Millis(800), Millis(3'000)};
+inline constexpr ReportLifetime PlainReportLife{Millis(50), Millis(250)};
 
 /// What this front experienced with one endpoint.
 struct EndpointRecord {
@@ -84,7 +84,7 @@
 
 void noteSent(EndpointRecord &Record);
 /// Load figures that an endpoint or its agent gave.
-void noteLoad(EndpointRecord &Record, uint32_t Load, ReportLife Life,
+void noteLoad(EndpointRecord &Record, uint32_t Load, ReportLifetime Life,
               TimePoint Now);
 void noteSuccess(EndpointRecord &Record);
 /// \p IsCertain: nothing can be expected of it for now, as when it refuses
