--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -430,7 +430,7 @@
   auto id = Core.State.Directory.IdByAddress.find(Report.address());
   if (id != Core.State.Directory.IdByAddress.end())
     noteLoad(Core.State.Records[id->second], Report.active() + Report.queued(),
-             EngineReportLife, now);
+             EngineReportLifetime, now);
   HasChanged = true;
 }
 
--- a/front/relay.cpp
+++ b/front/relay.cpp
@@ -175,7 +175,7 @@
   if (fields.Load)
     noteLoad(Core.State.Records[Endpoint],
              fields.Load->Running + fields.Load->Waiting,
-             engineSpecOf(Core.State, Request.Service) ? EngineReportLife
+             engineSpecOf(Core.State, Request.Service) ? EngineReportLifetime
                                                        : PlainReportLife,
              now);
   HasHead = true;
--- a/policy/endpoint_choice.h
+++ b/policy/endpoint_choice.h
@@ -48,7 +48,8 @@
   Millis Full;
   Millis Most;
 };
-inline constexpr ReportLifetime EngineReportLife{Millis(800), Millis(3'000)};
+inline constexpr ReportLifetime EngineReportLifetime{Millis(800),
+                                                     Millis(3'000)};
 inline constexpr ReportLifetime PlainReportLife{Millis(50), Millis(250)};
 
 /// What this front experienced with one endpoint.
--- a/tests/policy/test_overload.cpp
+++ b/tests/policy/test_overload.cpp
@@ -425,11 +425,11 @@
 
 TEST_CASE("own sends count before a report tells of them") {
   EndpointRecord record;
-  noteLoad(record, 4, EngineReportLife, Start);
+  noteLoad(record, 4, EngineReportLifetime, Start);
   noteSent(record);
   noteSent(record);
   CHECK(estimateLoad(record, Start) == Approx(6));
-  noteLoad(record, 5, EngineReportLife, Start);
+  noteLoad(record, 5, EngineReportLifetime, Start);
   CHECK(estimateLoad(record, Start) == Approx(5));
 }
 
@@ -496,7 +496,7 @@
     NextReport[Engine] = Now + Run.ReportPeriod;
     for (auto &it : Known)
       noteLoad(it[Engine], static_cast<uint32_t>(Engines[Engine].size()),
-               EngineReportLife, Now);
+               EngineReportLifetime, Now);
   }
 
   void send(int Front, TimePoint Now) {
@@ -576,7 +576,7 @@
   std::vector<EndpointCandidate> alone = {{"d1", "a", 6, false, 0, &record}};
   CHECK_FALSE(chooseEndpoint(alone, "a", 0, Start + Millis(20)));
   CHECK(chooseEndpoint(alone, "a", 0, Start + Millis(250)));
-  noteLoad(record, 60, EngineReportLife, Start);
+  noteLoad(record, 60, EngineReportLifetime, Start);
   alone[0].Slots = 32;
   CHECK_FALSE(chooseEndpoint(alone, "a", 0, Start + Millis(500)));
   CHECK(chooseEndpoint(alone, "a", 0, Start + Millis(3'000)));
