--- a/front/relay.cpp
+++ b/front/relay.cpp
@@ -176,7 +176,7 @@
     noteLoad(Core.State.Records[Endpoint],
              fields.Load->Running + fields.Load->Waiting,
              engineSpecOf(Core.State, Request.Service) ? EngineReportLifetime
-                                                       : PlainReportLife,
+                                                       : PlainReportLifetime,
              now);
   HasHead = true;
   IsNotRun = fields.IsNotRun;
--- a/policy/endpoint_choice.h
+++ b/policy/endpoint_choice.h
@@ -50,7 +50,7 @@
 };
 inline constexpr ReportLifetime EngineReportLifetime{Millis(800),
                                                      Millis(3'000)};
-inline constexpr ReportLifetime PlainReportLife{Millis(50), Millis(250)};
+inline constexpr ReportLifetime PlainReportLifetime{Millis(50), Millis(250)};
 
 /// What this front experienced with one endpoint.
 struct EndpointRecord {
--- a/tests/policy/test_overload.cpp
+++ b/tests/policy/test_overload.cpp
@@ -572,7 +572,7 @@
 // take the endpoint for full for good.
 TEST_CASE("endpoint that was full once is tried again without a newer report") {
   EndpointRecord record;
-  noteLoad(record, 9, PlainReportLife, Start);
+  noteLoad(record, 9, PlainReportLifetime, Start);
   std::vector<EndpointCandidate> alone = {{"d1", "a", 6, false, 0, &record}};
   CHECK_FALSE(chooseEndpoint(alone, "a", 0, Start + Millis(20)));
   CHECK(chooseEndpoint(alone, "a", 0, Start + Millis(250)));
