--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -557,7 +557,7 @@
            {{"endpoint", Endpoint},
             {"failures_in_row", std::to_string(Record.FailuresInRow)},
             {"failure_percent",
-             std::to_string(static_cast<int>(100 * Record.FailureShare))},
+             std::to_string(static_cast<int>(100 * Record.FailureRate))},
             {"for_ms", std::to_string(toMillis(Record.PausedUntil - Now))}});
 }
 
--- a/policy/endpoint_choice.cpp
+++ b/policy/endpoint_choice.cpp
@@ -51,7 +51,7 @@
     double load = estimateLoad(record, Now);
     if (!isPast(record.PausedUntil, Now) || load >= slots * (1 + QueueShare))
       continue;
-    double drawbacks = FailureWeight * record.FailureShare +
+    double drawbacks = FailureWeight * record.FailureRate +
                        (it.Zone == OwnZone ? 0 : ZoneLead) +
                        (it.IsSlow ? SlowPenalty : 0) -
                        AffinityLead * it.Affinity;
@@ -107,12 +107,12 @@
 }
 
 void noteSuccess(EndpointRecord &Record) {
-  Record.FailureShare *= 1 - OutcomeWeight;
+  Record.FailureRate *= 1 - OutcomeWeight;
   Record.FailuresInRow = 0;
 }
 
 void noteFailure(EndpointRecord &Record, bool IsCertain, TimePoint Now) {
-  Record.FailureShare += (1 - Record.FailureShare) * OutcomeWeight;
+  Record.FailureRate += (1 - Record.FailureRate) * OutcomeWeight;
   ++Record.FailuresInRow;
   if (!IsCertain && Record.FailuresInRow < PauseAfter)
     return;
--- a/policy/endpoint_choice.h
+++ b/policy/endpoint_choice.h
@@ -60,7 +60,7 @@
   TimePoint ReportedAt;
   TimePoint ReportFullUntil; ///< The report counts in full before this,
   TimePoint ReportEnds;      ///< and for nothing after this.
-  double FailureShare = 0;   ///< Smoothed.
+  double FailureRate = 0;    ///< Smoothed.
   uint32_t FailuresInRow = 0;
   TimePoint PausedUntil;
 };
