--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -555,7 +555,7 @@
     return;
   logEvent(LogLevel::Info, "endpoint_paused",
            {{"endpoint", Endpoint},
-            {"failures_in_row", std::to_string(Record.FailuresInRow)},
+            {"failures_in_row", std::to_string(Record.ConsecutiveFailures)},
             {"failure_percent",
              std::to_string(static_cast<int>(100 * Record.FailureRate))},
             {"for_ms", std::to_string(toMillis(Record.PausedUntil - Now))}});
--- a/policy/endpoint_choice.cpp
+++ b/policy/endpoint_choice.cpp
@@ -108,15 +108,15 @@
 
 void noteSuccess(EndpointRecord &Record) {
   Record.FailureRate *= 1 - OutcomeWeight;
-  Record.FailuresInRow = 0;
+  Record.ConsecutiveFailures = 0;
 }
 
 void noteFailure(EndpointRecord &Record, bool IsCertain, TimePoint Now) {
   Record.FailureRate += (1 - Record.FailureRate) * OutcomeWeight;
-  ++Record.FailuresInRow;
-  if (!IsCertain && Record.FailuresInRow < PauseAfter)
+  ++Record.ConsecutiveFailures;
+  if (!IsCertain && Record.ConsecutiveFailures < PauseAfter)
     return;
-  uint32_t doublings = std::min<uint32_t>(Record.FailuresInRow - 1, 4);
+  uint32_t doublings = std::min<uint32_t>(Record.ConsecutiveFailures - 1, 4);
   Record.PausedUntil =
       Now + std::min<Millis>(LeastPause * (1 << doublings), MostPause);
 }
--- a/policy/endpoint_choice.h
+++ b/policy/endpoint_choice.h
@@ -61,7 +61,7 @@
   TimePoint ReportFullUntil; ///< The report counts in full before this,
   TimePoint ReportEnds;      ///< and for nothing after this.
   double FailureRate = 0;    ///< Smoothed.
-  uint32_t FailuresInRow = 0;
+  uint32_t ConsecutiveFailures = 0;
   TimePoint PausedUntil;
 };
 
