--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -511,7 +511,7 @@
   ++row.Open;
   ++row.OpenAt[Endpoint];
   ++Request.Sends;
-  noteSent(State.Records[Endpoint]);
+  recordSend(State.Records[Endpoint]);
 }
 
 void noteExchangeOver(FrontState &State, const FrontRequest &Request,
--- a/policy/endpoint_choice.cpp
+++ b/policy/endpoint_choice.cpp
@@ -92,7 +92,7 @@
   return levels.front().Candidate;
 }
 
-void noteSent(EndpointRecord &Record) {
+void recordSend(EndpointRecord &Record) {
   ++Record.Open;
   ++Record.SentSinceReport;
 }
--- a/policy/endpoint_choice.h
+++ b/policy/endpoint_choice.h
@@ -83,7 +83,7 @@
 chooseEndpoint(const std::vector<EndpointCandidate> &Candidates,
                const std::string &OwnZone, double Point, TimePoint Now);
 
-void noteSent(EndpointRecord &Record);
+void recordSend(EndpointRecord &Record);
 /// Load figures that an endpoint or its agent gave.
 void noteLoad(EndpointRecord &Record, uint32_t Load, ReportLifetime Life,
               TimePoint Now);
--- a/tests/policy/test_overload.cpp
+++ b/tests/policy/test_overload.cpp
@@ -419,15 +419,15 @@
                                       {"near", "a", 10, false, 0, &near}};
   CHECK(both[*chooseEndpoint(both, "a", 0, Start)].Id == "near");
   for (int i = 0; i < 3; ++i)
-    noteSent(near);
+    recordSend(near);
   CHECK(both[*chooseEndpoint(both, "a", 0, Start)].Id == "far");
 }
 
 TEST_CASE("own sends count before a report tells of them") {
   EndpointRecord record;
   noteLoad(record, 4, EngineReportLifetime, Start);
-  noteSent(record);
-  noteSent(record);
+  recordSend(record);
+  recordSend(record);
   CHECK(estimateLoad(record, Start) == Approx(6));
   noteLoad(record, 5, EngineReportLifetime, Start);
   CHECK(estimateLoad(record, Start) == Approx(5));
@@ -517,7 +517,7 @@
     auto length = std::chrono::duration_cast<Clock::duration>(Run.Service *
                                                               (0.5 + draw()));
     engine.push_back({Now + length, Front});
-    noteSent(Known[Front][*chosen]);
+    recordSend(Known[Front][*chosen]);
   }
 
   HerdRun Run;
@@ -547,7 +547,7 @@
   std::vector<EndpointCandidate> one{{"e", "a", 4, false, 0, &record}};
   size_t sent = 0;
   while (chooseEndpoint(one, "a", 0, Start) && sent < 100) {
-    noteSent(record);
+    recordSend(record);
     ++sent;
   }
   CHECK(sent == 5);
@@ -587,11 +587,11 @@
   std::vector<EndpointCandidate> alone = {{"d1", "a", 6, false, 0, &record}};
   for (int i = 0; i < 100; ++i) {
     REQUIRE(chooseEndpoint(alone, "a", 0, Start));
-    noteSent(record);
+    recordSend(record);
     noteClosed(record);
   }
   for (int i = 0; i < 8; ++i)
-    noteSent(record);
+    recordSend(record);
   CHECK_FALSE(chooseEndpoint(alone, "a", 0, Start));
 }
 
