--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -429,8 +429,9 @@
     return;
   auto id = Core.State.Directory.IdByAddress.find(Report.address());
   if (id != Core.State.Directory.IdByAddress.end())
-    noteLoad(Core.State.Records[id->second], Report.active() + Report.queued(),
-             EngineReportLifetime, now);
+    recordLoadReport(Core.State.Records[id->second],
+                     Report.active() + Report.queued(), EngineReportLifetime,
+                     now);
   HasChanged = true;
 }
 
--- a/front/relay.cpp
+++ b/front/relay.cpp
@@ -173,11 +173,12 @@
     return;
   }
   if (fields.Load)
-    noteLoad(Core.State.Records[Endpoint],
-             fields.Load->Running + fields.Load->Waiting,
-             engineSpecOf(Core.State, Request.Service) ? EngineReportLifetime
-                                                       : PlainReportLifetime,
-             now);
+    recordLoadReport(Core.State.Records[Endpoint],
+                     fields.Load->Running + fields.Load->Waiting,
+                     engineSpecOf(Core.State, Request.Service)
+                         ? EngineReportLifetime
+                         : PlainReportLifetime,
+                     now);
   HasHead = true;
   IsNotRun = fields.IsNotRun;
   bool isStreaming = Request.Route->Kind == RequestKind::Streaming &&
--- a/policy/endpoint_choice.cpp
+++ b/policy/endpoint_choice.cpp
@@ -97,8 +97,8 @@
   ++Record.SentSinceReport;
 }
 
-void noteLoad(EndpointRecord &Record, uint32_t Load, ReportLifetime Life,
-              TimePoint Now) {
+void recordLoadReport(EndpointRecord &Record, uint32_t Load,
+                      ReportLifetime Life, TimePoint Now) {
   Record.ReportedLoad = Load;
   Record.SentSinceReport = 0;
   Record.ReportedAt = Now;
--- a/policy/endpoint_choice.h
+++ b/policy/endpoint_choice.h
@@ -85,8 +85,8 @@
 
 void recordSend(EndpointRecord &Record);
 /// Load figures that an endpoint or its agent gave.
-void noteLoad(EndpointRecord &Record, uint32_t Load, ReportLifetime Life,
-              TimePoint Now);
+void recordLoadReport(EndpointRecord &Record, uint32_t Load,
+                      ReportLifetime Life, TimePoint Now);
 void noteSuccess(EndpointRecord &Record);
 /// \p IsCertain: nothing can be expected of it for now, as when it refuses
 /// connections; else it is paused only after repeated failures.
--- a/tests/policy/test_overload.cpp
+++ b/tests/policy/test_overload.cpp
@@ -425,11 +425,11 @@
 
 TEST_CASE("own sends count before a report tells of them") {
   EndpointRecord record;
-  noteLoad(record, 4, EngineReportLifetime, Start);
+  recordLoadReport(record, 4, EngineReportLifetime, Start);
   recordSend(record);
   recordSend(record);
   CHECK(estimateLoad(record, Start) == Approx(6));
-  noteLoad(record, 5, EngineReportLifetime, Start);
+  recordLoadReport(record, 5, EngineReportLifetime, Start);
   CHECK(estimateLoad(record, Start) == Approx(5));
 }
 
@@ -495,8 +495,9 @@
       return;
     NextReport[Engine] = Now + Run.ReportPeriod;
     for (auto &it : Known)
-      noteLoad(it[Engine], static_cast<uint32_t>(Engines[Engine].size()),
-               EngineReportLifetime, Now);
+      recordLoadReport(it[Engine],
+                       static_cast<uint32_t>(Engines[Engine].size()),
+                       EngineReportLifetime, Now);
   }
 
   void send(int Front, TimePoint Now) {
@@ -572,11 +573,11 @@
 // take the endpoint for full for good.
 TEST_CASE("endpoint that was full once is tried again without a newer report") {
   EndpointRecord record;
-  noteLoad(record, 9, PlainReportLifetime, Start);
+  recordLoadReport(record, 9, PlainReportLifetime, Start);
   std::vector<EndpointCandidate> alone = {{"d1", "a", 6, false, 0, &record}};
   CHECK_FALSE(chooseEndpoint(alone, "a", 0, Start + Millis(20)));
   CHECK(chooseEndpoint(alone, "a", 0, Start + Millis(250)));
-  noteLoad(record, 60, EngineReportLifetime, Start);
+  recordLoadReport(record, 60, EngineReportLifetime, Start);
   alone[0].Slots = 32;
   CHECK_FALSE(chooseEndpoint(alone, "a", 0, Start + Millis(500)));
   CHECK(chooseEndpoint(alone, "a", 0, Start + Millis(3'000)));
