--- a/front/relay.cpp
+++ b/front/relay.cpp
@@ -242,7 +242,7 @@
   Call.reset();
   noteExchangeOver(Core.State, Request, Endpoint);
   if (IsStream) {
-    noteSuccess(Core.State.Records[Endpoint]);
+    recordSuccess(Core.State.Records[Endpoint]);
     Exchange->write(std::move(Cutter.Rest));
     Exchange->finish();
     observe("answer_seconds", now - Request.ArrivedAt);
@@ -268,7 +268,7 @@
     failExchange(ExchangeFailure::Error);
     return;
   }
-  noteSuccess(Core.State.Records[Endpoint]);
+  recordSuccess(Core.State.Records[Endpoint]);
   passOn();
 }
 
--- a/policy/endpoint_choice.cpp
+++ b/policy/endpoint_choice.cpp
@@ -106,7 +106,7 @@
   Record.ReportEnds = Now + Life.Most;
 }
 
-void noteSuccess(EndpointRecord &Record) {
+void recordSuccess(EndpointRecord &Record) {
   Record.FailureRate *= 1 - OutcomeWeight;
   Record.ConsecutiveFailures = 0;
 }
--- a/policy/endpoint_choice.h
+++ b/policy/endpoint_choice.h
@@ -87,7 +87,7 @@
 /// Load figures that an endpoint or its agent gave.
 void recordLoadReport(EndpointRecord &Record, uint32_t Load,
                       ReportLifetime Life, TimePoint Now);
-void noteSuccess(EndpointRecord &Record);
+void recordSuccess(EndpointRecord &Record);
 /// \p IsCertain: nothing can be expected of it for now, as when it refuses
 /// connections; else it is paused only after repeated failures.
 void noteFailure(EndpointRecord &Record, bool IsCertain, TimePoint Now);
