--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -573,7 +573,7 @@
   if (Failure == ExchangeFailure::Rejected) {
     record.PausedUntil = std::max(record.PausedUntil, Now + RejectPause);
   } else {
-    noteFailure(record, Failure == ExchangeFailure::Unreachable, Now);
+    recordFailure(record, Failure == ExchangeFailure::Unreachable, Now);
     logPause(Endpoint, record, Now);
     Request.Tried.insert(Endpoint);
   }
--- a/policy/endpoint_choice.cpp
+++ b/policy/endpoint_choice.cpp
@@ -111,7 +111,7 @@
   Record.ConsecutiveFailures = 0;
 }
 
-void noteFailure(EndpointRecord &Record, bool IsCertain, TimePoint Now) {
+void recordFailure(EndpointRecord &Record, bool IsCertain, TimePoint Now) {
   Record.FailureRate += (1 - Record.FailureRate) * OutcomeWeight;
   ++Record.ConsecutiveFailures;
   if (!IsCertain && Record.ConsecutiveFailures < PauseAfter)
--- a/policy/endpoint_choice.h
+++ b/policy/endpoint_choice.h
@@ -90,7 +90,7 @@
 void recordSuccess(EndpointRecord &Record);
 /// \p IsCertain: nothing can be expected of it for now, as when it refuses
 /// connections; else it is paused only after repeated failures.
-void noteFailure(EndpointRecord &Record, bool IsCertain, TimePoint Now);
+void recordFailure(EndpointRecord &Record, bool IsCertain, TimePoint Now);
 void noteClosed(EndpointRecord &Record);
 
 } // namespace sassafras
--- a/tests/policy/test_overload.cpp
+++ b/tests/policy/test_overload.cpp
@@ -561,7 +561,7 @@
   std::vector<EndpointCandidate> both{{"bad", "a", 32, false, 0, &bad},
                                       {"good", "b", 32, false, 0, &good}};
   for (int i = 0; i < 3; ++i)
-    noteFailure(bad, false, Start);
+    recordFailure(bad, false, Start);
   CHECK(both[*chooseEndpoint(both, "a", 0, Start)].Id == "good");
   std::vector<EndpointCandidate> alone{both[0]};
   CHECK_FALSE(chooseEndpoint(alone, "a", 0, Start));
