--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -522,7 +522,7 @@
   auto at = row.OpenAt.find(Endpoint);
   if (at != row.OpenAt.end() && --at->second == 0)
     row.OpenAt.erase(at);
-  noteClosed(State.Records[Endpoint]);
+  recordClose(State.Records[Endpoint]);
 }
 
 void takeQuotaGrant(FrontState &State, const wire::QuotaGrant &Grant,
--- a/policy/endpoint_choice.cpp
+++ b/policy/endpoint_choice.cpp
@@ -121,7 +121,7 @@
       Now + std::min<Millis>(LeastPause * (1 << doublings), MostPause);
 }
 
-void noteClosed(EndpointRecord &Record) {
+void recordClose(EndpointRecord &Record) {
   if (Record.Open > 0)
     --Record.Open;
   if (Record.SentSinceReport > 0)
--- a/policy/endpoint_choice.h
+++ b/policy/endpoint_choice.h
@@ -91,7 +91,7 @@
 /// \p IsCertain: nothing can be expected of it for now, as when it refuses
 /// connections; else it is paused only after repeated failures.
 void recordFailure(EndpointRecord &Record, bool IsCertain, TimePoint Now);
-void noteClosed(EndpointRecord &Record);
+void recordClose(EndpointRecord &Record);
 
 } // namespace sassafras
 
--- a/tests/policy/test_overload.cpp
+++ b/tests/policy/test_overload.cpp
@@ -485,7 +485,7 @@
     std::erase_if(Engines[Engine], [&](const Running &it) {
       if (it.Ends > Now)
         return false;
-      noteClosed(Known[it.Front][Engine]);
+      recordClose(Known[it.Front][Engine]);
       return true;
     });
   }
@@ -589,7 +589,7 @@
   for (int i = 0; i < 100; ++i) {
     REQUIRE(chooseEndpoint(alone, "a", 0, Start));
     recordSend(record);
-    noteClosed(record);
+    recordClose(record);
   }
   for (int i = 0; i < 8; ++i)
     recordSend(record);
