--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -71,7 +71,7 @@
   out.Id = Known.Id;
   out.Zone = Known.Zone;
   out.Slots = Known.Slots;
-  out.IsSlow = !isPast(Known.SlowUntil, Now);
+  out.IsWarmingUp = !isPast(Known.SlowUntil, Now);
   if (!Request.Facts.PromptHead.empty())
     out.Affinity =
         static_cast<double>(checksumOf(Request.Facts.PromptHead + Known.Id) %
--- a/policy/endpoint_choice.cpp
+++ b/policy/endpoint_choice.cpp
@@ -53,7 +53,7 @@
       continue;
     double drawbacks = FailureWeight * record.FailureRate +
                        (it.Zone == OwnZone ? 0 : ZoneLead) +
-                       (it.IsSlow ? SlowPenalty : 0) -
+                       (it.IsWarmingUp ? SlowPenalty : 0) -
                        AffinityLead * it.Affinity;
     out.push_back({i, load + slots * drawbacks});
     Held += load;
--- a/policy/endpoint_choice.h
+++ b/policy/endpoint_choice.h
@@ -69,8 +69,8 @@
   std::string Id;
   std::string Zone;
   uint32_t Slots = 1;
-  bool IsSlow = false; ///< Just started.
-  double Affinity = 0; ///< 0 to 1; breaks ties between equal loads.
+  bool IsWarmingUp = false; ///< Just started.
+  double Affinity = 0;      ///< 0 to 1; breaks ties between equal loads.
   const EndpointRecord *Record = nullptr;
 };
 
