--- a/policy/placement.cpp
+++ b/policy/placement.cpp
@@ -95,8 +95,8 @@
 bool Planner::isUsable(const wire::Endpoint &Endpoint) const {
   auto it = Input.Endpoints.find(Endpoint.name());
   return it != Input.Endpoints.end() && it->second.IsLive &&
-         !it->second.HasStrangers && Endpoint.ready() && !Endpoint.leaving() &&
-         !Endpoint.is_service();
+         !it->second.HasUnknownReplicas && Endpoint.ready() &&
+         !Endpoint.leaving() && !Endpoint.is_service();
 }
 
 const ReplicaUse *Planner::useOf(const wire::Replica &Replica) const {
--- a/policy/placement.h
+++ b/policy/placement.h
@@ -39,7 +39,7 @@
 /// What the leader knows of one endpoint beyond its record.
 struct EndpointUse {
   bool IsLive = false;
-  bool HasStrangers = false; ///< Holds replicas that nobody decided.
+  bool HasUnknownReplicas = false; ///< Holds replicas that nobody decided.
   std::set<std::string> CachedRows;
   std::map<std::string, ReplicaUse> Replicas;
 };
