--- a/front/leader_work.cpp
+++ b/front/leader_work.cpp
@@ -256,7 +256,7 @@
     for (const std::string &it : plan.Models)
       if (auto fresh = Leader.FreshUntil.find({id, it});
           fresh != Leader.FreshUntil.end())
-        plan.Fresh.insert(it);
+        plan.JustLoaded.insert(it);
     out.Engines.push_back(std::move(plan));
     out.Endpoints.push_back(&known);
     out.States.push_back(engine);
--- a/policy/model_plan.cpp
+++ b/policy/model_plan.cpp
@@ -197,7 +197,7 @@
       return std::nullopt;
     const ModelState &state = found->second;
     used += state.Spec->WeightsMb;
-    if (Engine.Fresh.contains(it))
+    if (Engine.JustLoaded.contains(it))
       continue;
     victims.push_back({&found->first, lastReplicaValue(state, state.Replicas),
                        unloadDelay(Engine, it), state.Spec->WeightsMb});
--- a/policy/model_plan.h
+++ b/policy/model_plan.h
@@ -67,7 +67,7 @@
   std::set<std::string> Models;
   /// Loaded just now: whoever waits for them has not been sent there yet, so
   /// they look idle. They give way to nothing.
-  std::set<std::string> Fresh;
+  std::set<std::string> JustLoaded;
   std::map<std::string, uint32_t> Running; ///< Requests by model.
   std::string Loading;                     ///< Model on its way, or empty.
   Millis BusyFor{0}; ///< Until it takes another order, as far as is known.
