--- a/front/leader_work.cpp
+++ b/front/leader_work.cpp
@@ -238,7 +238,7 @@
                        loadTime(plan, spec->second));
         for (const std::string &it : order->second.Evict)
           plan.Models.erase(it);
-        plan.BusyFor = busyFor(order->second, Now);
+        plan.TimeUntilFree = busyFor(order->second, Now);
         ++out.LoadsUnderWay;
         out.StoreLoadsUnderWay += order->second.IsFromStore;
       }
@@ -248,7 +248,7 @@
       plan.Loading = engine->Loading;
       auto spec = Spec.Models.find(plan.Loading);
       if (spec != Spec.Models.end())
-        plan.BusyFor =
+        plan.TimeUntilFree =
             timeLeft(engine->ReadAt + loadTime(plan, spec->second), Now);
       ++out.LoadsUnderWay;
       out.StoreLoadsUnderWay += !isNearAt(*engine, engine->Loading);
--- a/policy/model_plan.cpp
+++ b/policy/model_plan.cpp
@@ -130,7 +130,7 @@
     for (const std::string &it : engine.Models)
       if (auto found = states.find(it); found != states.end())
         ++found->second.Replicas;
-    if (engine.BusyFor <= SoonFree)
+    if (engine.TimeUntilFree <= SoonFree)
       for (const std::string &it : modelsNear(engine))
         if (auto found = states.find(it); found != states.end())
           ++found->second.Near;
--- a/policy/model_plan.h
+++ b/policy/model_plan.h
@@ -70,7 +70,8 @@
   std::set<std::string> JustLoaded;
   std::map<std::string, uint32_t> Running; ///< Requests by model.
   std::string Loading;                     ///< Model on its way, or empty.
-  Millis BusyFor{0}; ///< Until it takes another order, as far as is known.
+  Millis TimeUntilFree{
+      0}; ///< Until it takes another order, as far as is known.
   std::set<std::string> InMemory;
   std::set<std::string> OnDisk;
 };
--- a/tests/policy/test_overload.cpp
+++ b/tests/policy/test_overload.cpp
@@ -166,7 +166,7 @@
   engines[0].OnDisk = {"m0"};
   engines[0].CanOrder = false;
   engines[0].Loading = "m1";
-  engines[0].BusyFor = Millis(12'000);
+  engines[0].TimeUntilFree = Millis(12'000);
   std::map<std::string, ModelDemand> demand;
   demand["m0"] = {60, 30, 30, 60};
   demand["m2"] = {1, 1, 1, 8};
@@ -175,7 +175,7 @@
   REQUIRE(countLoads(loads, "m0") == 1);
   CHECK(loads[0].IsFromStore);
   // One that is free soon is waited for while lost models need the store.
-  engines[0].BusyFor = Millis(500);
+  engines[0].TimeUntilFree = Millis(500);
   CHECK(countLoads(planModels(input), "m0") == 0);
 }
 
