--- a/front/fleet_view.cpp
+++ b/front/fleet_view.cpp
@@ -67,7 +67,7 @@
 void takeOwnDemand(FrontState &State, wire::NodeHeartbeat &Beat,
                    TimePoint Now) {
   for (auto &[name, it] : State.Quotas) {
-    noteDemand(it, {}, Now);
+    recordDemand(it, {}, Now);
     if (it.DemandRate < 1)
       continue;
     wire::OrganisationDemand &demand = *Beat.add_organisations();
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -284,8 +284,8 @@
     row.Worth += request.Worth;
   }
   if (!request.Organisation.empty())
-    noteDemand(Core.State.Quotas[request.Organisation],
-               {request.Cost, request.Worth}, now);
+    recordDemand(Core.State.Quotas[request.Organisation],
+                 {request.Cost, request.Worth}, now);
   noteRequest(Core.State.Retries[request.Service], Core.State.Limits.Retries,
               countFronts(Core.State, now));
   std::make_shared<Relay>(Core, std::move(request), std::move(Request),
--- a/policy/rate_share.cpp
+++ b/policy/rate_share.cpp
@@ -139,7 +139,7 @@
   return Millis(static_cast<int64_t>(std::ceil(missing / rate * 1000.0)) + 1);
 }
 
-void noteDemand(LocalQuota &Quota, const QuotaClaim &Claim, TimePoint Now) {
+void recordDemand(LocalQuota &Quota, const QuotaClaim &Claim, TimePoint Now) {
   if (Claim.Cost > 0) {
     Quota.MeanCost += (Claim.Cost - Quota.MeanCost) * MeanWeight;
     Quota.MeanDensity +=
--- a/policy/rate_share.h
+++ b/policy/rate_share.h
@@ -108,7 +108,7 @@
 Millis waitForQuota(const LocalQuota &Quota, const QuotaLimit &Limit,
                     const QuotaClaim &Claim, size_t FrontCount, TimePoint Now);
 /// Notes what was asked for, granted or not.
-void noteDemand(LocalQuota &Quota, const QuotaClaim &Claim, TimePoint Now);
+void recordDemand(LocalQuota &Quota, const QuotaClaim &Claim, TimePoint Now);
 
 } // namespace sassafras
 
--- a/tests/policy/test_overload.cpp
+++ b/tests/policy/test_overload.cpp
@@ -645,7 +645,7 @@
     LocalQuota &front = fronts[place(random)];
     double cost = size(random);
     ++out.Asked;
-    noteDemand(front, {cost, 1}, now);
+    recordDemand(front, {cost, 1}, now);
     bool isGranted = takeQuota(front, limit, {cost, 1}, fronts.size(), now);
     if (!isGranted && limit.HasPool) {
       double missing = std::max(0.0, cost - front.Level);
@@ -774,7 +774,7 @@
        now += Millis(10)) {
     Kind &it = kinds[mix(random)];
     ++it.Asked;
-    noteDemand(front, it.Claim, now);
+    recordDemand(front, it.Claim, now);
     it.Served += takeQuota(front, limit, it.Claim, 1, now);
   }
   auto part = [](const Kind &it) {
