--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -299,12 +299,12 @@
 std::optional<wire::QuotaWish> wishForTokens(LocalQuota &Quota,
                                              const FrontRequest &Request,
                                              bool IsFavoured, TimePoint Now) {
-  Quota.Wanting[Request.Number] = Request.Cost;
+  Quota.WaitingCosts[Request.Number] = Request.Cost;
   if (Quota.AskedAt != TimePoint())
     return std::nullopt;
   Quota.AskedAt = Now;
   double wanted = 0;
-  for (const auto &[number, cost] : Quota.Wanting)
+  for (const auto &[number, cost] : Quota.WaitingCosts)
     wanted += cost;
   wire::QuotaWish out;
   out.set_organisation(Request.Organisation);
@@ -343,7 +343,7 @@
   QuotaClaim claim{Request.Cost, Request.Worth};
   if (takeQuota(quota, limit, claim, fronts, Now)) {
     Request.IsCharged = true;
-    quota.Wanting.erase(Request.Number);
+    quota.WaitingCosts.erase(Request.Number);
     return std::nullopt;
   }
   Clock::duration patience =
@@ -362,7 +362,7 @@
     if (!isPast(shut, Now))
       wait = std::min(wait, std::chrono::ceil<Millis>(shut - Now));
   }
-  quota.Wanting.erase(Request.Number);
+  quota.WaitingCosts.erase(Request.Number);
   if (isPast(patienceEnd, Now) || Now + wait > patienceEnd) {
     logQuotaRefusal(Request, quota, fronts, wait, Now);
     return refuse(State, RefusalReason::RateExceeded, wait);
@@ -543,7 +543,7 @@
 
 void forgetRequest(FrontState &State, const FrontRequest &Request) {
   if (!Request.Organisation.empty())
-    State.Quotas[Request.Organisation].Wanting.erase(Request.Number);
+    State.Quotas[Request.Organisation].WaitingCosts.erase(Request.Number);
   noteServed(rowOf(State, Request), Request);
 }
 
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -589,7 +589,7 @@
 
 /// Only the requests that waited for tokens of \p Organisation.
 void FrontShell::pumpForTokens(const std::string &Organisation) {
-  auto wanting = Core.State.Quotas[Organisation].Wanting;
+  auto wanting = Core.State.Quotas[Organisation].WaitingCosts;
   for (const auto &[number, cost] : wanting) {
     auto relay = Core.Relays.find(number);
     if (relay == Core.Relays.end())
--- a/policy/rate_share.h
+++ b/policy/rate_share.h
@@ -57,7 +57,7 @@
   double DemandRate = 0; ///< Tokens asked for in a second, smoothed.
   double DemandSum = 0;  ///< Since DemandSince.
   TimePoint DemandSince;
-  std::map<uint64_t, double> Wanting; ///< Costs of requests that wait.
+  std::map<uint64_t, double> WaitingCosts; ///< Costs of requests that wait.
   TimePoint AskedAt;         ///< The leader has not answered yet, if set.
   TimePoint PoolShutUntil;   ///< The leader has nothing before this.
   TimePoint PoolScarceUntil; ///< And nothing but for favoured requests.
