--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -300,9 +300,9 @@
                                              const FrontRequest &Request,
                                              bool IsFavoured, TimePoint Now) {
   Quota.WaitingCosts[Request.Number] = Request.Cost;
-  if (Quota.AskedAt != TimePoint())
+  if (Quota.PoolRequestedAt != TimePoint())
     return std::nullopt;
-  Quota.AskedAt = Now;
+  Quota.PoolRequestedAt = Now;
   double wanted = 0;
   for (const auto &[number, cost] : Quota.WaitingCosts)
     wanted += cost;
@@ -317,9 +317,10 @@
 /// A leader that did not answer the last wish in time may be gone: for a while
 /// nobody is asked.
 void noteUnanswered(FrontState &State, LocalQuota &Quota, TimePoint Now) {
-  if (Quota.AskedAt == TimePoint() || Now - Quota.AskedAt < PoolAnswerLimit)
+  if (Quota.PoolRequestedAt == TimePoint() ||
+      Now - Quota.PoolRequestedAt < PoolAnswerLimit)
     return;
-  Quota.AskedAt = TimePoint();
+  Quota.PoolRequestedAt = TimePoint();
   State.PoolLostUntil = Now + PoolRest;
   logEvent(LogLevel::Warning, "quota_wish_unanswered",
            {{"leader", State.Leader.Node}});
@@ -531,7 +532,7 @@
     return;
   State.PoolHeardAt = Now;
   LocalQuota &quota = State.Quotas[Grant.organisation()];
-  quota.AskedAt = TimePoint();
+  quota.PoolRequestedAt = TimePoint();
   if (Grant.granted() > 0) {
     quota.Level += Grant.granted();
     return;
--- a/policy/rate_share.h
+++ b/policy/rate_share.h
@@ -58,7 +58,7 @@
   double DemandSum = 0;  ///< Since DemandSince.
   TimePoint DemandSince;
   std::map<uint64_t, double> WaitingCosts; ///< Costs of requests that wait.
-  TimePoint AskedAt;         ///< The leader has not answered yet, if set.
+  TimePoint PoolRequestedAt; ///< The leader has not answered yet, if set.
   TimePoint PoolShutUntil;   ///< The leader has nothing before this.
   TimePoint PoolScarceUntil; ///< And nothing but for favoured requests.
   double MeanCost = 0;       ///< Of requests, smoothed.
--- a/tests/front/test_dispatch.cpp
+++ b/tests/front/test_dispatch.cpp
@@ -122,7 +122,7 @@
   auto first = decideDispatch(state, request, Start);
   CHECK(std::holds_alternative<WaitUntil>(first.Decision));
   CHECK(first.QuotaWish);
-  state.Quotas["first"].AskedAt = TimePoint();
+  state.Quotas["first"].PoolRequestedAt = TimePoint();
   auto last = decideDispatch(state, request, Start + Millis(210));
   REQUIRE(refusalOf(last));
   CHECK(refusalOf(last)->Reason == RefusalReason::RateExceeded);
