--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -353,9 +353,9 @@
   Millis wait = waitForQuota(quota, limit, claim, fronts, Now);
   if (limit.HasPool) {
     bool isFirst = isFavoured(quota, claim);
-    TimePoint shut = isFirst
-                         ? quota.PoolShutUntil
-                         : std::max(quota.PoolShutUntil, quota.PoolScarceUntil);
+    TimePoint shut =
+        isFirst ? quota.PoolEmptyUntil
+                : std::max(quota.PoolEmptyUntil, quota.PoolScarceUntil);
     if (isPast(shut, Now) && !isPast(patienceEnd, Now)) {
       Wish = wishForTokens(quota, Request, isFirst, Now);
       return WaitUntil{std::min(patienceEnd, Now + PoolAnswerLimit)};
@@ -538,7 +538,7 @@
     return;
   }
   TimePoint &shut =
-      Grant.is_favoured() ? quota.PoolShutUntil : quota.PoolScarceUntil;
+      Grant.is_favoured() ? quota.PoolEmptyUntil : quota.PoolScarceUntil;
   shut = Now + Millis(Grant.wait_ms());
 }
 
--- a/policy/rate_share.h
+++ b/policy/rate_share.h
@@ -59,7 +59,7 @@
   TimePoint DemandSince;
   std::map<uint64_t, double> WaitingCosts; ///< Costs of requests that wait.
   TimePoint PoolRequestedAt; ///< The leader has not answered yet, if set.
-  TimePoint PoolShutUntil;   ///< The leader has nothing before this.
+  TimePoint PoolEmptyUntil;  ///< The leader has nothing before this.
   TimePoint PoolScarceUntil; ///< And nothing but for favoured requests.
   double MeanCost = 0;       ///< Of requests, smoothed.
   double MeanDensity = 0;    ///< Worth for each token, smoothed.
