--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -355,7 +355,7 @@
     bool isFirst = isFavoured(quota, claim);
     TimePoint shut =
         isFirst ? quota.PoolEmptyUntil
-                : std::max(quota.PoolEmptyUntil, quota.PoolScarceUntil);
+                : std::max(quota.PoolEmptyUntil, quota.PoolFavouredOnlyUntil);
     if (isPast(shut, Now) && !isPast(patienceEnd, Now)) {
       Wish = wishForTokens(quota, Request, isFirst, Now);
       return WaitUntil{std::min(patienceEnd, Now + PoolAnswerLimit)};
@@ -538,7 +538,7 @@
     return;
   }
   TimePoint &shut =
-      Grant.is_favoured() ? quota.PoolEmptyUntil : quota.PoolScarceUntil;
+      Grant.is_favoured() ? quota.PoolEmptyUntil : quota.PoolFavouredOnlyUntil;
   shut = Now + Millis(Grant.wait_ms());
 }
 
--- a/policy/rate_share.h
+++ b/policy/rate_share.h
@@ -58,11 +58,11 @@
   double DemandSum = 0;  ///< Since DemandSince.
   TimePoint DemandSince;
   std::map<uint64_t, double> WaitingCosts; ///< Costs of requests that wait.
-  TimePoint PoolRequestedAt; ///< The leader has not answered yet, if set.
-  TimePoint PoolEmptyUntil;  ///< The leader has nothing before this.
-  TimePoint PoolScarceUntil; ///< And nothing but for favoured requests.
-  double MeanCost = 0;       ///< Of requests, smoothed.
-  double MeanDensity = 0;    ///< Worth for each token, smoothed.
+  TimePoint PoolRequestedAt;       ///< The leader has not answered yet, if set.
+  TimePoint PoolEmptyUntil;        ///< The leader has nothing before this.
+  TimePoint PoolFavouredOnlyUntil; ///< And nothing but for favoured requests.
+  double MeanCost = 0;             ///< Of requests, smoothed.
+  double MeanDensity = 0;          ///< Worth for each token, smoothed.
 };
 
 /// What one request takes and what it is worth against others.
