--- a/front/leader_work.cpp
+++ b/front/leader_work.cpp
@@ -374,7 +374,7 @@
   for (const auto &[name, it] : State.Roster.Nodes)
     // One out of view may still use the share that it was given.
     if (it.Entry.kind() == wire::NODE_FRONT &&
-        Now - it.HeardAt < NodeSilence + ShareLife)
+        Now - it.HeardAt < NodeSilence + ShareLifetime)
       fronts.push_back(name);
   std::map<std::string, wire::RateShares> shares;
   for (const OrganisationSpec &organisation : State.Table->Organisations) {
--- a/policy/rate_share.cpp
+++ b/policy/rate_share.cpp
@@ -108,7 +108,7 @@
 
 void setShare(LocalQuota &Quota, double Share, TimePoint Now) {
   Quota.Share = Share;
-  Quota.ShareEnd = Now + ShareLife;
+  Quota.ShareEnd = Now + ShareLifetime;
 }
 
 bool takeQuota(LocalQuota &Quota, const QuotaLimit &Limit,
--- a/policy/rate_share.h
+++ b/policy/rate_share.h
@@ -20,7 +20,7 @@
 
 /// A front uses its share this long after the leader gave it; the leader
 /// counts on it for longer.
-inline constexpr Millis ShareLife{4'000};
+inline constexpr Millis ShareLifetime{4'000};
 /// Part of an equal share that a front keeps when its share has run out. One
 /// that was never given a share has an equal one: it has just started, and
 /// mostly so have all.
--- a/tests/policy/test_overload.cpp
+++ b/tests/policy/test_overload.cpp
@@ -790,7 +790,7 @@
   LocalQuota front;
   setShare(front, 0.9, Start);
   QuotaLimit limit{1'000, 1'000, {}};
-  TimePoint late = Start + ShareLife + Millis(1);
+  TimePoint late = Start + ShareLifetime + Millis(1);
   REQUIRE(takeQuota(front, limit, {5'000, 1}, 10, late));
   Millis wait = waitForQuota(front, limit, {1, 1}, 10, late);
   // A tenth of the rate is an equal share; half of that is kept.
