--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -341,7 +341,7 @@
   noteUnanswered(State, quota, Now);
   QuotaLimit limit = limitOf(State, *organisation, Now);
   size_t fronts = countFronts(State, Now);
-  QuotaClaim claim{Request.Cost, Request.Worth};
+  QuotaCharge claim{Request.Cost, Request.Worth};
   if (takeQuota(quota, limit, claim, fronts, Now)) {
     Request.IsCharged = true;
     quota.WaitingCosts.erase(Request.Number);
--- a/policy/rate_share.cpp
+++ b/policy/rate_share.cpp
@@ -47,7 +47,7 @@
 
 /// Level above which \p Claim is granted.
 double levelNeeded(const LocalQuota &Quota, const QuotaLimit &Limit,
-                   const QuotaClaim &Claim, size_t FrontCount, TimePoint Now) {
+                   const QuotaCharge &Claim, size_t FrontCount, TimePoint Now) {
   double share = shareAt(Quota, FrontCount, Now);
   bool isBeyond = Quota.DemandRate > Limit.RatePerSecond * share * BeyondFactor;
   // The pool keeps a part for favoured requests itself.
@@ -81,7 +81,7 @@
          tolerance.Slack;
 }
 
-bool isFavoured(const LocalQuota &Quota, const QuotaClaim &Claim) {
+bool isFavoured(const LocalQuota &Quota, const QuotaCharge &Claim) {
   return Claim.Cost <= Quota.MeanCost * SmallPart ||
          Claim.Worth >= Claim.Cost * Quota.MeanDensity * WorthyFactor;
 }
@@ -112,7 +112,7 @@
 }
 
 bool takeQuota(LocalQuota &Quota, const QuotaLimit &Limit,
-               const QuotaClaim &Claim, size_t FrontCount, TimePoint Now) {
+               const QuotaCharge &Claim, size_t FrontCount, TimePoint Now) {
   if (Limit.RatePerSecond <= 0)
     return true;
   refill(Quota, Limit, FrontCount, Now);
@@ -130,7 +130,8 @@
 void returnQuota(LocalQuota &Quota, double Cost) { Quota.Level += Cost; }
 
 Millis waitForQuota(const LocalQuota &Quota, const QuotaLimit &Limit,
-                    const QuotaClaim &Claim, size_t FrontCount, TimePoint Now) {
+                    const QuotaCharge &Claim, size_t FrontCount,
+                    TimePoint Now) {
   double rate = rateAt(Limit, shareAt(Quota, FrontCount, Now));
   double missing =
       levelNeeded(Quota, Limit, Claim, FrontCount, Now) - Quota.Level;
@@ -139,7 +140,7 @@
   return Millis(static_cast<int64_t>(std::ceil(missing / rate * 1000.0)) + 1);
 }
 
-void recordDemand(LocalQuota &Quota, const QuotaClaim &Claim, TimePoint Now) {
+void recordDemand(LocalQuota &Quota, const QuotaCharge &Claim, TimePoint Now) {
   if (Claim.Cost > 0) {
     Quota.MeanCost += (Claim.Cost - Quota.MeanCost) * MeanWeight;
     Quota.MeanDensity +=
--- a/policy/rate_share.h
+++ b/policy/rate_share.h
@@ -66,7 +66,7 @@
 };
 
 /// What one request takes and what it is worth against others.
-struct QuotaClaim {
+struct QuotaCharge {
   double Cost = 0;
   double Worth = 0;
 };
@@ -94,21 +94,21 @@
 /// What all fronts together may spend at once beyond the rate.
 double burstOf(const QuotaLimit &Limit);
 /// True when \p Claim goes first while its organisation is beyond its rate.
-bool isFavoured(const LocalQuota &Quota, const QuotaClaim &Claim);
+bool isFavoured(const LocalQuota &Quota, const QuotaCharge &Claim);
 
 void setShare(LocalQuota &Quota, double Share, TimePoint Now);
 /// Takes the tokens of \p Claim. False when the organisation is beyond its
 /// limit, or what it has left is kept for requests that are small or worth
 /// more. \p FrontCount: fronts in view, this one included.
 bool takeQuota(LocalQuota &Quota, const QuotaLimit &Limit,
-               const QuotaClaim &Claim, size_t FrontCount, TimePoint Now);
+               const QuotaCharge &Claim, size_t FrontCount, TimePoint Now);
 /// Gives back what was taken for a request that surely did not run.
 void returnQuota(LocalQuota &Quota, double Cost);
 /// Time until \p Claim can be granted, as far as it can be told.
 Millis waitForQuota(const LocalQuota &Quota, const QuotaLimit &Limit,
-                    const QuotaClaim &Claim, size_t FrontCount, TimePoint Now);
+                    const QuotaCharge &Claim, size_t FrontCount, TimePoint Now);
 /// Notes what was asked for, granted or not.
-void recordDemand(LocalQuota &Quota, const QuotaClaim &Claim, TimePoint Now);
+void recordDemand(LocalQuota &Quota, const QuotaCharge &Claim, TimePoint Now);
 
 } // namespace sassafras
 
--- a/tests/policy/test_overload.cpp
+++ b/tests/policy/test_overload.cpp
@@ -763,7 +763,7 @@
   QuotaLimit limit{20'000, 20'000, {Millis(8'000), 0.1, 17'000}};
   LocalQuota front;
   struct Kind {
-    QuotaClaim Claim;
+    QuotaCharge Claim;
     int Asked = 0;
     int Served = 0;
   };
