--- a/front/leader_work.cpp
+++ b/front/leader_work.cpp
@@ -440,7 +440,7 @@
     return std::nullopt;
   bool isBeyond =
       demandOf(Leader.Demand, found->Name, Now) > found->RatePerSecond;
-  PoolAnswer answer =
+  PoolGrant answer =
       drawFromPool(Leader.Pools[found->Name], limitOf(State, *found, Now),
                    {Wish.wanted(), Wish.least(), Wish.is_favoured()}, isBeyond,
                    Leader.LedSince, Now);
--- a/policy/quota_pool.cpp
+++ b/policy/quota_pool.cpp
@@ -13,9 +13,9 @@
 
 } // namespace
 
-PoolAnswer drawFromPool(QuotaPool &Pool, const QuotaLimit &Limit,
-                        const PoolWish &Wish, bool IsBeyond, TimePoint LedSince,
-                        TimePoint Now) {
+PoolGrant drawFromPool(QuotaPool &Pool, const QuotaLimit &Limit,
+                       const PoolWish &Wish, bool IsBeyond, TimePoint LedSince,
+                       TimePoint Now) {
   if (Pool.FilledAt == TimePoint())
     Pool.Level = burstOf(Limit) * PoolStartPart;
   double rate = Limit.RatePerSecond * (1 - DividedPart);
@@ -32,7 +32,7 @@
     return {0, Millis(static_cast<int64_t>(
                    std::ceil(missing / std::max(rate, 1.0) * 1000.0)))};
   }
-  PoolAnswer out;
+  PoolGrant out;
   out.Granted = std::max(Wish.Least, std::min(Wish.Wanted, free));
   Pool.Level -= out.Granted;
   return out;
--- a/policy/quota_pool.h
+++ b/policy/quota_pool.h
@@ -36,7 +36,7 @@
 };
 
 /// Tokens for the front, or the time after which to ask again.
-struct PoolAnswer {
+struct PoolGrant {
   double Granted = 0;
   Millis Wait{0};
 };
@@ -44,9 +44,9 @@
 /// A leader's pools start at \p LedSince. \p IsBeyond: the organisation asks
 /// for more than its rate, and a part is kept for favoured requests. Not thread
 /// safe.
-PoolAnswer drawFromPool(QuotaPool &Pool, const QuotaLimit &Limit,
-                        const PoolWish &Wish, bool IsBeyond, TimePoint LedSince,
-                        TimePoint Now);
+PoolGrant drawFromPool(QuotaPool &Pool, const QuotaLimit &Limit,
+                       const PoolWish &Wish, bool IsBeyond, TimePoint LedSince,
+                       TimePoint Now);
 
 } // namespace sassafras
 
--- a/tests/policy/test_overload.cpp
+++ b/tests/policy/test_overload.cpp
@@ -719,10 +719,10 @@
   QuotaLimit limit{1'000, 1'000, {}, true};
   QuotaPool pool;
   TimePoint later = Start + std::chrono::minutes(1);
-  PoolAnswer first =
+  PoolGrant first =
       drawFromPool(pool, limit, {9'000, 9'000, false}, false, Start, later);
   CHECK(first.Granted == 9'000);
-  PoolAnswer next =
+  PoolGrant next =
       drawFromPool(pool, limit, {10, 10, false}, false, Start, later);
   CHECK(next.Granted == 0);
   // 9,000 tokens at 1,000 a second, less what may be saved up.
@@ -735,7 +735,7 @@
   double first = burstOf(limit) * PoolStartPart;
   CHECK(drawFromPool(pool, limit, {first, first, false}, false, Start, Start)
             .Granted == first);
-  PoolAnswer answer =
+  PoolGrant answer =
       drawFromPool(pool, limit, {500, 500, false}, false, Start, Start);
   CHECK(answer.Granted == 0);
   CHECK(answer.Wait > Millis(0));
