--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -286,8 +286,8 @@
   if (!request.Organisation.empty())
     recordDemand(Core.State.Quotas[request.Organisation],
                  {request.Cost, request.Worth}, now);
-  noteRequest(Core.State.Retries[request.Service], Core.State.Limits.Retries,
-              countFronts(Core.State, now));
+  recordRequest(Core.State.Retries[request.Service], Core.State.Limits.Retries,
+                countFronts(Core.State, now));
   std::make_shared<Relay>(Core, std::move(request), std::move(Request),
                           Exchange)
       ->start();
--- a/policy/retry_budget.cpp
+++ b/policy/retry_budget.cpp
@@ -20,8 +20,8 @@
 
 } // namespace
 
-void noteRequest(RetryBudget &Budget, const RetryLimits &Limits,
-                 size_t FrontCount) {
+void recordRequest(RetryBudget &Budget, const RetryLimits &Limits,
+                   size_t FrontCount) {
   open(Budget, Limits, FrontCount);
   Budget.Tokens = std::min(Budget.Tokens + BudgetMargin * Limits.Ratio,
                            mostTokens(Limits, FrontCount));
--- a/policy/retry_budget.h
+++ b/policy/retry_budget.h
@@ -26,8 +26,8 @@
 };
 
 /// A request for the service has arrived.
-void noteRequest(RetryBudget &Budget, const RetryLimits &Limits,
-                 size_t FrontCount);
+void recordRequest(RetryBudget &Budget, const RetryLimits &Limits,
+                   size_t FrontCount);
 /// Takes one retry; false when none is left.
 bool takeRetry(RetryBudget &Budget, const RetryLimits &Limits,
                size_t FrontCount);
--- a/tests/front/test_dispatch.cpp
+++ b/tests/front/test_dispatch.cpp
@@ -502,7 +502,7 @@
   // Arrivals fill the budget up.
   state.Limits.Retries.Slack = 10;
   for (int i = 0; i < 8; ++i)
-    noteRequest(state.Retries["chat"], state.Limits.Retries, 1);
+    recordRequest(state.Retries["chat"], state.Limits.Retries, 1);
   CHECK(std::holds_alternative<SendTo>(
       decideDispatch(state, request, now).Decision));
   CHECK_FALSE(request.AwaitsRetry);
--- a/tests/policy/test_overload.cpp
+++ b/tests/policy/test_overload.cpp
@@ -806,7 +806,7 @@
   constexpr uint64_t Requests = 600;
   for (uint64_t i = 0; i < Requests; ++i) {
     RetryBudget &front = fronts[i % fronts.size()];
-    noteRequest(front, limits, fronts.size());
+    recordRequest(front, limits, fronts.size());
     while (takeRetry(front, limits, fronts.size()))
       ++retries;
   }
