--- a/front/fleet_view.cpp
+++ b/front/fleet_view.cpp
@@ -106,9 +106,9 @@
     if (it.arrivals() == 0)
       continue;
     ArrivalRates &rates = Demand.Rates[it.model()];
-    addTo(rates.ShortArrivals, it.arrivals(), ShortSpan, Now);
-    addTo(rates.ShortWorth, it.worth(), ShortSpan, Now);
-    addTo(rates.LongWorth, it.worth(), LongSpan, Now);
+    addToRate(rates.ShortArrivals, it.arrivals(), ShortSpan, Now);
+    addToRate(rates.ShortWorth, it.worth(), ShortSpan, Now);
+    addToRate(rates.LongWorth, it.worth(), LongSpan, Now);
   }
 }
 
--- a/policy/row_demand.cpp
+++ b/policy/row_demand.cpp
@@ -18,15 +18,15 @@
   return Rate.PerSecond * std::exp(-secondsOf(Now - Rate.At) / secondsOf(Span));
 }
 
-void addTo(DecayingRate &Rate, double Amount, Millis Span, TimePoint Now) {
+void addToRate(DecayingRate &Rate, double Amount, Millis Span, TimePoint Now) {
   Rate.PerSecond = readRate(Rate, Span, Now) + Amount / secondsOf(Span);
   Rate.At = Now;
 }
 
 void noteArrival(ArrivalRates &Rates, double Worth, TimePoint Now) {
-  addTo(Rates.ShortArrivals, 1, ShortSpan, Now);
-  addTo(Rates.ShortWorth, Worth, ShortSpan, Now);
-  addTo(Rates.LongWorth, Worth, LongSpan, Now);
+  addToRate(Rates.ShortArrivals, 1, ShortSpan, Now);
+  addToRate(Rates.ShortWorth, Worth, ShortSpan, Now);
+  addToRate(Rates.LongWorth, Worth, LongSpan, Now);
 }
 
 } // namespace sassafras
--- a/policy/row_demand.h
+++ b/policy/row_demand.h
@@ -23,7 +23,7 @@
   TimePoint At;
 };
 
-void addTo(DecayingRate &Rate, double Amount, Millis Span, TimePoint Now);
+void addToRate(DecayingRate &Rate, double Amount, Millis Span, TimePoint Now);
 double readRate(const DecayingRate &Rate, Millis Span, TimePoint Now);
 
 struct ArrivalRates {
