--- a/front/fleet_view.cpp
+++ b/front/fleet_view.cpp
@@ -106,8 +106,8 @@
     if (it.arrivals() == 0)
       continue;
     ArrivalRates &rates = Demand.Rates[it.model()];
-    addToRate(rates.ShortArrivals, it.arrivals(), ShortSpan, Now);
-    addToRate(rates.ShortWorth, it.worth(), ShortSpan, Now);
+    addToRate(rates.ShortArrivals, it.arrivals(), ShortWindow, Now);
+    addToRate(rates.ShortWorth, it.worth(), ShortWindow, Now);
     addToRate(rates.LongWorth, it.worth(), LongSpan, Now);
   }
 }
--- a/front/leader_work.cpp
+++ b/front/leader_work.cpp
@@ -56,7 +56,7 @@
   std::map<std::string, ModelDemand> out;
   for (const auto &[model, rates] : Leader.Demand.Rates)
     out[model].WorthPerSecond =
-        std::max(readRate(rates.ShortWorth, ShortSpan, Now),
+        std::max(readRate(rates.ShortWorth, ShortWindow, Now),
                  readRate(rates.LongWorth, LongSpan, Now));
   for (const auto &[front, part] : Leader.Demand.Fronts) {
     if (Now - part.HeardAt > DemandMemory)
--- a/policy/row_demand.cpp
+++ b/policy/row_demand.cpp
@@ -24,8 +24,8 @@
 }
 
 void noteArrival(ArrivalRates &Rates, double Worth, TimePoint Now) {
-  addToRate(Rates.ShortArrivals, 1, ShortSpan, Now);
-  addToRate(Rates.ShortWorth, Worth, ShortSpan, Now);
+  addToRate(Rates.ShortArrivals, 1, ShortWindow, Now);
+  addToRate(Rates.ShortWorth, Worth, ShortWindow, Now);
   addToRate(Rates.LongWorth, Worth, LongSpan, Now);
 }
 
--- a/policy/row_demand.h
+++ b/policy/row_demand.h
@@ -14,7 +14,7 @@
 /// Time constants of the averages. The short one is below the span of a
 /// shift of demand (5 s and more), the long one covers a few requests of a
 /// rare model.
-inline constexpr Millis ShortSpan{2'000};
+inline constexpr Millis ShortWindow{2'000};
 inline constexpr Millis LongSpan{20'000};
 
 /// Exponentially decaying count.
--- a/tests/front/test_leader_work.cpp
+++ b/tests/front/test_leader_work.cpp
@@ -131,7 +131,7 @@
   // The engine that said nothing of its weights is not waited for for ever.
   now = Start + Millis(2'600);
   led.sight("old", false, now);
-  addToRate(led.Leader.Demand.Rates["new"].ShortWorth, 50, ShortSpan, now);
+  addToRate(led.Leader.Demand.Rates["new"].ShortWorth, 50, ShortWindow, now);
   CHECK(led.readyAt(now, 10) >= now + StoreLoad);
   CHECK(led.Leader.Orders.size() == 1);
 }
@@ -215,7 +215,7 @@
     row.set_waiting(1);
     row.set_waiting_worth(20);
     takeWish(led.Leader, "front", row, Now);
-    addToRate(led.Leader.Demand.Rates["old"].ShortWorth, 50, ShortSpan, Now);
+    addToRate(led.Leader.Demand.Rates["old"].ShortWorth, 50, ShortWindow, Now);
     NodeMessages out;
     planPlacement(led.Leader, led.State, Now, out);
     return led.Leader.Orders.size();
--- a/tests/policy/test_overload.cpp
+++ b/tests/policy/test_overload.cpp
@@ -404,9 +404,10 @@
   TimePoint now = Start;
   for (int i = 0; i < 200; ++i, now += Millis(50))
     noteArrival(rates, 2, now);
-  CHECK(readRate(rates.ShortArrivals, ShortSpan, now) == Approx(20).margin(3));
+  CHECK(readRate(rates.ShortArrivals, ShortWindow, now) ==
+        Approx(20).margin(3));
   now += std::chrono::seconds(6);
-  CHECK(readRate(rates.ShortArrivals, ShortSpan, now) < 1.5);
+  CHECK(readRate(rates.ShortArrivals, ShortWindow, now) < 1.5);
   CHECK(readRate(rates.LongWorth, LongSpan, now) > 8);
 }
 
