--- a/front/fleet_view.cpp
+++ b/front/fleet_view.cpp
@@ -108,7 +108,7 @@
     ArrivalRates &rates = Demand.Rates[it.model()];
     addToRate(rates.ShortArrivals, it.arrivals(), ShortWindow, Now);
     addToRate(rates.ShortWorth, it.worth(), ShortWindow, Now);
-    addToRate(rates.LongWorth, it.worth(), LongSpan, Now);
+    addToRate(rates.LongWorth, it.worth(), LongWindow, Now);
   }
 }
 
--- a/front/leader_work.cpp
+++ b/front/leader_work.cpp
@@ -57,7 +57,7 @@
   for (const auto &[model, rates] : Leader.Demand.Rates)
     out[model].WorthPerSecond =
         std::max(readRate(rates.ShortWorth, ShortWindow, Now),
-                 readRate(rates.LongWorth, LongSpan, Now));
+                 readRate(rates.LongWorth, LongWindow, Now));
   for (const auto &[front, part] : Leader.Demand.Fronts) {
     if (Now - part.HeardAt > DemandMemory)
       continue;
--- a/policy/row_demand.cpp
+++ b/policy/row_demand.cpp
@@ -26,7 +26,7 @@
 void noteArrival(ArrivalRates &Rates, double Worth, TimePoint Now) {
   addToRate(Rates.ShortArrivals, 1, ShortWindow, Now);
   addToRate(Rates.ShortWorth, Worth, ShortWindow, Now);
-  addToRate(Rates.LongWorth, Worth, LongSpan, Now);
+  addToRate(Rates.LongWorth, Worth, LongWindow, Now);
 }
 
 } // namespace sassafras
--- a/policy/row_demand.h
+++ b/policy/row_demand.h
@@ -15,7 +15,7 @@
 /// shift of demand (5 s and more), the long one covers a few requests of a
 /// rare model.
 inline constexpr Millis ShortWindow{2'000};
-inline constexpr Millis LongSpan{20'000};
+inline constexpr Millis LongWindow{20'000};
 
 /// Exponentially decaying count.
 struct DecayingRate {
--- a/tests/policy/test_overload.cpp
+++ b/tests/policy/test_overload.cpp
@@ -408,7 +408,7 @@
         Approx(20).margin(3));
   now += std::chrono::seconds(6);
   CHECK(readRate(rates.ShortArrivals, ShortWindow, now) < 1.5);
-  CHECK(readRate(rates.LongWorth, LongSpan, now) > 8);
+  CHECK(readRate(rates.LongWorth, LongWindow, now) > 8);
 }
 
 // ---- Routing ----
