--- a/policy/row_demand.cpp
+++ b/policy/row_demand.cpp
@@ -23,7 +23,7 @@
   Rate.At = Now;
 }
 
-void noteArrival(ArrivalRates &Rates, double Worth, TimePoint Now) {
+void recordArrival(ArrivalRates &Rates, double Worth, TimePoint Now) {
   addToRate(Rates.ShortArrivals, 1, ShortWindow, Now);
   addToRate(Rates.ShortWorth, Worth, ShortWindow, Now);
   addToRate(Rates.LongWorth, Worth, LongWindow, Now);
--- a/policy/row_demand.h
+++ b/policy/row_demand.h
@@ -32,7 +32,7 @@
   DecayingRate LongWorth;
 };
 
-void noteArrival(ArrivalRates &Rates, double Worth, TimePoint Now);
+void recordArrival(ArrivalRates &Rates, double Worth, TimePoint Now);
 
 } // namespace sassafras
 
--- a/tests/front/test_leader_work.cpp
+++ b/tests/front/test_leader_work.cpp
@@ -167,7 +167,7 @@
   led.sight("old", true, Start + Millis(100));
   led.Loading.clear();
   led.sight("", false, Start + Millis(100), "i-2", "10.0.0.2:7");
-  noteArrival(led.Leader.Demand.Rates["new"], 10, Start + Millis(1'000));
+  recordArrival(led.Leader.Demand.Rates["new"], 10, Start + Millis(1'000));
   // The other engine is free, but the model is on its way.
   TimePoint readyAt = led.readyAt(Start + Millis(1'000));
   CHECK(led.Leader.Orders.empty());
--- a/tests/policy/test_overload.cpp
+++ b/tests/policy/test_overload.cpp
@@ -403,7 +403,7 @@
   ArrivalRates rates;
   TimePoint now = Start;
   for (int i = 0; i < 200; ++i, now += Millis(50))
-    noteArrival(rates, 2, now);
+    recordArrival(rates, 2, now);
   CHECK(readRate(rates.ShortArrivals, ShortWindow, now) ==
         Approx(20).margin(3));
   now += std::chrono::seconds(6);
