--- a/front/leader_work.h
+++ b/front/leader_work.h
@@ -40,7 +40,7 @@
   std::map<std::pair<std::string, std::string>, TimePoint> FreshUntil;
   uint64_t NextOrder = 1;
   uint64_t NextShares = 1;
-  StorePace Pace;
+  StoreConcurrency Pace;
   double StoreTokens = 0; ///< Loads from the store that may start.
   TimePoint StoreTokensAt;
   TimePoint NextPlan;
--- a/policy/store_pace.cpp
+++ b/policy/store_pace.cpp
@@ -5,8 +5,8 @@
 
 namespace sassafras {
 
-void noteStoreLoad(StorePace &Pace, size_t Together, Millis Alone, Millis Taken,
-                   TimePoint Now) {
+void noteStoreLoad(StoreConcurrency &Pace, size_t Together, Millis Alone,
+                   Millis Taken, TimePoint Now) {
   if (Alone.count() <= 0 || Together == 0)
     return;
   double ratio =
@@ -22,7 +22,8 @@
     Pace.Places = std::min(Together + 1, MostStorePlaces);
 }
 
-Millis storeLoadTime(const StorePace &Pace, size_t Together, Millis Alone) {
+Millis storeLoadTime(const StoreConcurrency &Pace, size_t Together,
+                     Millis Alone) {
   double ratio = static_cast<double>(Together) /
                  static_cast<double>(std::max<size_t>(Pace.Places, 1));
   return Millis(static_cast<int64_t>(static_cast<double>(Alone.count()) *
--- a/policy/store_pace.h
+++ b/policy/store_pace.h
@@ -26,17 +26,18 @@
 /// loads that an earlier leader ordered may have slowed it.
 inline constexpr Millis ProbePause{30'000};
 
-struct StorePace {
+struct StoreConcurrency {
   size_t Places = FirstStorePlaces;
   TimePoint ProbeAfter;
 };
 
 /// A load is over that took \p Taken, would have taken \p Alone by itself, and
 /// was one of \p Together when it began. Not thread safe.
-void noteStoreLoad(StorePace &Pace, size_t Together, Millis Alone, Millis Taken,
-                   TimePoint Now);
+void noteStoreLoad(StoreConcurrency &Pace, size_t Together, Millis Alone,
+                   Millis Taken, TimePoint Now);
 /// Time that a load takes which begins as one of \p Together. Thread safe.
-Millis storeLoadTime(const StorePace &Pace, size_t Together, Millis Alone);
+Millis storeLoadTime(const StoreConcurrency &Pace, size_t Together,
+                     Millis Alone);
 
 } // namespace sassafras
 
--- a/tests/policy/test_overload.cpp
+++ b/tests/policy/test_overload.cpp
@@ -346,7 +346,7 @@
 /// takes longer in proportion, to its end. Loads are begun as places allow.
 struct StoreReplay {
   size_t AtOnce;
-  StorePace Pace;
+  StoreConcurrency Pace;
   TimePoint Now = Start;
   struct Load {
     TimePoint BegunAt;
