--- a/front/leader_work.cpp
+++ b/front/leader_work.cpp
@@ -140,7 +140,7 @@
     return;
   auto taken =
       std::chrono::duration_cast<Millis>(Engine.ReadAt - Order.BegunAt);
-  size_t before = Leader.Pace.Places;
+  size_t before = Leader.Pace.MaxLoads;
   noteStoreLoad(Leader.Pace, Order.Together, spec->second.StoreLoad, taken,
                 Now);
   logEvent(LogLevel::Info, "store_load_done",
@@ -148,7 +148,7 @@
             {"model", Order.Model},
             {"taken_ms", std::to_string(taken.count())},
             {"together", std::to_string(Order.Together)},
-            {"places", std::to_string(Leader.Pace.Places)},
+            {"places", std::to_string(Leader.Pace.MaxLoads)},
             {"before", std::to_string(before)}});
 }
 
@@ -355,7 +355,7 @@
                     field.LoadsUnderWay,
                     field.StoreLoadsUnderWay,
                     mayUseStore ? static_cast<uint32_t>(Leader.StoreTokens) : 0,
-                    Leader.Pace.Places};
+                    Leader.Pace.MaxLoads};
     for (const PlannedLoad &it : planModels(input)) {
       if (it.IsFromStore)
         Leader.StoreTokens -= 1;
@@ -462,8 +462,8 @@
   size_t queued = StoreAhead;
   for (const auto &[address, order] : Leader.Orders)
     queued += order.IsFromStore;
-  return OrderWay +
-         Spec.StoreLoad * static_cast<int64_t>(queued / Leader.Pace.Places + 1);
+  return OrderWay + Spec.StoreLoad *
+                        static_cast<int64_t>(queued / Leader.Pace.MaxLoads + 1);
 }
 
 /// Time until an engine that has the weights of \p Model may be ordered to load
--- a/policy/store_pace.h
+++ b/policy/store_pace.h
@@ -15,7 +15,8 @@
 
 namespace sassafras {
 
-/// Places until anything is known, and the bounds within which they are sought.
+/// MaxLoads until anything is known, and the bounds within which they are
+/// sought.
 inline constexpr size_t FirstStorePlaces = 3;
 inline constexpr size_t LeastStorePlaces = 2;
 inline constexpr size_t MostStorePlaces = 8;
@@ -27,7 +28,7 @@
 inline constexpr Millis ProbePause{30'000};
 
 struct StoreConcurrency {
-  size_t Places = FirstStorePlaces;
+  size_t MaxLoads = FirstStorePlaces;
   TimePoint ProbeAfter;
 };
 
--- a/tests/policy/test_overload.cpp
+++ b/tests/policy/test_overload.cpp
@@ -369,7 +369,7 @@
         ++Done;
         return true;
       });
-      if (UnderWay.size() >= Pace.Places)
+      if (UnderWay.size() >= Pace.MaxLoads)
         continue;
       size_t together = UnderWay.size() + 1;
       auto factor = std::max(1.0, static_cast<double>(together) /
@@ -388,12 +388,12 @@
   for (size_t atOnce : {2, 4, 5}) {
     StoreReplay replay{atOnce, {}, Start, {}, 0, Millis(0)};
     replay.run(std::chrono::seconds(60));
-    INFO("at once " << atOnce << ", places " << replay.Pace.Places);
+    INFO("at once " << atOnce << ", places " << replay.Pace.MaxLoads);
     replay.Longest = Millis(0);
     int before = replay.Done;
     replay.run(std::chrono::seconds(200));
-    CHECK(replay.Pace.Places >= atOnce);
-    CHECK(replay.Pace.Places <= atOnce + 1);
+    CHECK(replay.Pace.MaxLoads >= atOnce);
+    CHECK(replay.Pace.MaxLoads <= atOnce + 1);
     // No slower than its rate, and only a probe now and then is slowed.
     CHECK(replay.Done - before >= static_cast<int>(200 * atOnce / 7.8 * 0.85));
   }
