--- a/front/leader_work.cpp
+++ b/front/leader_work.cpp
@@ -141,8 +141,8 @@
   auto taken =
       std::chrono::duration_cast<Millis>(Engine.ReadAt - Order.BegunAt);
   size_t before = Leader.Pace.MaxLoads;
-  noteStoreLoad(Leader.Pace, Order.Together, spec->second.StoreLoad, taken,
-                Now);
+  recordStoreLoad(Leader.Pace, Order.Together, spec->second.StoreLoad, taken,
+                  Now);
   logEvent(LogLevel::Info, "store_load_done",
            {{"order", std::to_string(Order.Number)},
             {"model", Order.Model},
--- a/policy/store_pace.cpp
+++ b/policy/store_pace.cpp
@@ -5,8 +5,8 @@
 
 namespace sassafras {
 
-void noteStoreLoad(StoreConcurrency &Pace, size_t Together, Millis Alone,
-                   Millis Taken, TimePoint Now) {
+void recordStoreLoad(StoreConcurrency &Pace, size_t Together, Millis Alone,
+                     Millis Taken, TimePoint Now) {
   if (Alone.count() <= 0 || Together == 0)
     return;
   double ratio =
--- a/policy/store_pace.h
+++ b/policy/store_pace.h
@@ -34,8 +34,8 @@
 
 /// A load is over that took \p Taken, would have taken \p Alone by itself, and
 /// was one of \p Together when it began. Not thread safe.
-void noteStoreLoad(StoreConcurrency &Pace, size_t Together, Millis Alone,
-                   Millis Taken, TimePoint Now);
+void recordStoreLoad(StoreConcurrency &Pace, size_t Together, Millis Alone,
+                     Millis Taken, TimePoint Now);
 /// Time that a load takes which begins as one of \p Together. Thread safe.
 Millis storeLoadTime(const StoreConcurrency &Pace, size_t Together,
                      Millis Alone);
--- a/tests/policy/test_overload.cpp
+++ b/tests/policy/test_overload.cpp
@@ -364,7 +364,7 @@
         if (it.EndsAt > Now)
           return false;
         auto taken = std::chrono::duration_cast<Millis>(Now - it.BegunAt);
-        noteStoreLoad(Pace, it.Together, alone, taken, Now);
+        recordStoreLoad(Pace, it.Together, alone, taken, Now);
         Longest = std::max(Longest, taken);
         ++Done;
         return true;
