--- a/bench/site.cpp
+++ b/bench/site.cpp
@@ -99,7 +99,7 @@
   std::map<std::pair<TimePoint, uint64_t>, std::function<void()>> Queue;
   ControlState Control;
   std::vector<EntryState> Entries;
-  std::vector<TokenBank> LocalBanks;
+  std::vector<TokenBuckets> LocalBanks;
   std::map<std::string, AgentState> Agents;
   std::map<std::string, Engine> Engines;
   std::vector<wire::TableRow> Rows;
@@ -261,7 +261,7 @@
 
 /// The simple limit: every entry spends its own part of the rate.
 void Site::grantLocally(int Entry, const wire::GrantRequest &Request) {
-  TokenBank &bank = LocalBanks[static_cast<size_t>(Entry)];
+  TokenBuckets &bank = LocalBanks[static_cast<size_t>(Entry)];
   wire::Envelope message;
   wire::GrantReply &reply = *message.mutable_grant_reply();
   reply.set_number(Request.number());
--- a/control/control_state.h
+++ b/control/control_state.h
@@ -55,7 +55,7 @@
   std::map<std::string, NodeInfo> Nodes;
   std::map<uint64_t, PendingProposal> Pending;
   std::set<std::string> PendingItems;
-  TokenBank Bank;
+  TokenBuckets Bank;
   IdleState Idling;
   uint64_t LedTerm = 0; ///< Term for which the soft state was set up.
   TimePoint LedSince;
--- a/policy/token_bank.cpp
+++ b/policy/token_bank.cpp
@@ -39,7 +39,7 @@
   Bucket.Level = std::max(0.0, std::min(Bucket.Level, room));
 }
 
-TenantBucket &refill(TokenBank &Bank, const std::string &Tenant,
+TenantBucket &refill(TokenBuckets &Bank, const std::string &Tenant,
                      TenantRate Rate, TimePoint Now) {
   auto [it, isNew] = Bank.Buckets.try_emplace(Tenant);
   TenantBucket &bucket = it->second;
@@ -62,14 +62,14 @@
 
 } // namespace
 
-void openBank(TokenBank &Bank, TimePoint Now) {
+void openBank(TokenBuckets &Bank, TimePoint Now) {
   Bank.Buckets.clear();
   Bank.OpensAt = Now + timing::GrantLifeAtGiver;
 }
 
-std::optional<TokenGrant> takeGrant(TokenBank &Bank, const std::string &Tenant,
-                                    TenantRate Rate, const GrantWish &Wish,
-                                    TimePoint Now) {
+std::optional<TokenGrant> takeGrant(TokenBuckets &Bank,
+                                    const std::string &Tenant, TenantRate Rate,
+                                    const GrantWish &Wish, TimePoint Now) {
   if (Now < Bank.OpensAt || Wish.Wanted == 0)
     return std::nullopt;
   TenantBucket &bucket = refill(Bank, Tenant, Rate, Now);
@@ -92,7 +92,7 @@
   return grant;
 }
 
-void returnGrant(TokenBank &Bank, const std::string &Tenant, uint64_t Id,
+void returnGrant(TokenBuckets &Bank, const std::string &Tenant, uint64_t Id,
                  uint64_t Unspent, TenantRate Rate, TimePoint Now) {
   if (!Bank.Buckets.contains(Tenant))
     return;
@@ -109,8 +109,9 @@
       std::max(0.0, std::min(bucket.Level + static_cast<double>(back), room));
 }
 
-void refundCharge(TokenBank &Bank, const std::string &Tenant, uint64_t Tokens,
-                  TimePoint ChargedAt, TenantRate Rate, TimePoint Now) {
+void refundCharge(TokenBuckets &Bank, const std::string &Tenant,
+                  uint64_t Tokens, TimePoint ChargedAt, TenantRate Rate,
+                  TimePoint Now) {
   if (!Bank.Buckets.contains(Tenant))
     return;
   TenantBucket &bucket = refill(Bank, Tenant, Rate, Now);
--- a/policy/token_bank.h
+++ b/policy/token_bank.h
@@ -64,7 +64,7 @@
   GrantReserve Reserve;
 };
 
-struct TokenBank {
+struct TokenBuckets {
   TimePoint OpensAt; ///< Grants of an earlier leader have ended by then.
   uint64_t NextGrant = 1;
   std::map<std::string, TenantBucket> Buckets;
@@ -77,18 +77,19 @@
 
 /// Empties the bank for a new leader. Every bucket starts at level zero once
 /// all grants that an earlier leader may have given have ended.
-void openBank(TokenBank &Bank, TimePoint Now);
+void openBank(TokenBuckets &Bank, TimePoint Now);
 /// Takes tokens of \p Tenant as \p Wish asks; nothing when there are too few.
-std::optional<TokenGrant> takeGrant(TokenBank &Bank, const std::string &Tenant,
-                                    TenantRate Rate, const GrantWish &Wish,
-                                    TimePoint Now);
+std::optional<TokenGrant> takeGrant(TokenBuckets &Bank,
+                                    const std::string &Tenant, TenantRate Rate,
+                                    const GrantWish &Wish, TimePoint Now);
 /// Takes back what is left of grant \p Id; unknown or ended ones are ignored.
-void returnGrant(TokenBank &Bank, const std::string &Tenant, uint64_t Id,
+void returnGrant(TokenBuckets &Bank, const std::string &Tenant, uint64_t Id,
                  uint64_t Unspent, TenantRate Rate, TimePoint Now);
 /// Takes back the part of a charge made at \p ChargedAt that was not needed,
 /// as far as the bucket had room for it ever since.
-void refundCharge(TokenBank &Bank, const std::string &Tenant, uint64_t Tokens,
-                  TimePoint ChargedAt, TenantRate Rate, TimePoint Now);
+void refundCharge(TokenBuckets &Bank, const std::string &Tenant,
+                  uint64_t Tokens, TimePoint ChargedAt, TenantRate Rate,
+                  TimePoint Now);
 
 } // namespace sassafras
 
--- a/tests/policy/test_token_bank.cpp
+++ b/tests/policy/test_token_bank.cpp
@@ -16,13 +16,13 @@
 constexpr TenantRate Rate{100, 400};
 const TimePoint Start = TimePoint() + std::chrono::hours(1);
 
-TokenBank openAt(TimePoint Now) {
-  TokenBank bank;
+TokenBuckets openAt(TimePoint Now) {
+  TokenBuckets bank;
   openBank(bank, Now - timing::GrantLifeAtGiver);
   return bank;
 }
 
-uint64_t take(TokenBank &Bank, uint64_t Wanted, TimePoint Now,
+uint64_t take(TokenBuckets &Bank, uint64_t Wanted, TimePoint Now,
               uint64_t Least = 1, const char *Node = "entry-1") {
   auto grant = takeGrant(Bank, "alpha", Rate, {Node, Wanted, Least}, Now);
   return grant ? grant->Tokens : 0;
@@ -54,7 +54,7 @@
 } // namespace
 
 TEST_CASE("bank of a new leader opens empty after earlier grants ended") {
-  TokenBank bank;
+  TokenBuckets bank;
   openBank(bank, Start);
   CHECK(take(bank, 100, Start) == 0);
   TimePoint opens = Start + timing::GrantLifeAtGiver;
@@ -63,7 +63,7 @@
 }
 
 TEST_CASE("bank counts grants in hands against the burst") {
-  TokenBank bank = openAt(Start);
+  TokenBuckets bank = openAt(Start);
   CHECK(take(bank, 1, Start) == 0);
   TimePoint full = Start + std::chrono::seconds(10);
   CHECK(take(bank, 1000, full) == 400);
@@ -73,7 +73,7 @@
 }
 
 TEST_CASE("bank takes a grant back once, and never more than it gave") {
-  TokenBank bank = openAt(Start);
+  TokenBuckets bank = openAt(Start);
   take(bank, 1, Start);
   TimePoint now = Start + std::chrono::seconds(10);
   auto grant = takeGrant(bank, "alpha", Rate, {"e", 300, 1}, now);
@@ -85,7 +85,7 @@
 }
 
 TEST_CASE("bank keeps tokens for a large wish that small ones would starve") {
-  TokenBank bank = openAt(Start);
+  TokenBuckets bank = openAt(Start);
   take(bank, 1, Start);
   TimePoint now = Start + Millis(1000);
   CHECK(take(bank, 300, now, 300, "large") == 0);
@@ -104,7 +104,7 @@
 }
 
 TEST_CASE("refund is worth only what the bucket had room for ever since") {
-  TokenBank bank = openAt(Start);
+  TokenBuckets bank = openAt(Start);
   take(bank, 1, Start);
   TimePoint now = Start + std::chrono::seconds(10);
   REQUIRE(take(bank, 400, now) == 400);
@@ -122,7 +122,7 @@
     auto chance = [&](int Percent) {
       return static_cast<int>(random() % 100) < Percent;
     };
-    TokenBank bank = openAt(Start);
+    TokenBuckets bank = openAt(Start);
     HeldGrants holders[2];
     std::vector<Spending> spent;
     std::vector<std::pair<TimePoint, wire::GrantReply>> replies[2];
