--- a/control/leadership.cpp
+++ b/control/leadership.cpp
@@ -76,7 +76,7 @@
   State.FleetTimeBaseAt = Now;
   State.LoadTokens = 0;
   State.LoadTokensAt = Now;
-  openBank(State.Bank, Now);
+  resetBuckets(State.Bank, Now);
 }
 
 void receiveFromNode(ControlState &State, const wire::Envelope &Message,
--- a/policy/token_bank.cpp
+++ b/policy/token_bank.cpp
@@ -62,7 +62,7 @@
 
 } // namespace
 
-void openBank(TokenBuckets &Bank, TimePoint Now) {
+void resetBuckets(TokenBuckets &Bank, TimePoint Now) {
   Bank.Buckets.clear();
   Bank.OpensAt = Now + timing::GrantLifeAtGiver;
 }
--- a/policy/token_bank.h
+++ b/policy/token_bank.h
@@ -77,7 +77,7 @@
 
 /// Empties the bank for a new leader. Every bucket starts at level zero once
 /// all grants that an earlier leader may have given have ended.
-void openBank(TokenBuckets &Bank, TimePoint Now);
+void resetBuckets(TokenBuckets &Bank, TimePoint Now);
 /// Takes tokens of \p Tenant as \p Wish asks; nothing when there are too few.
 std::optional<TokenGrant> takeGrant(TokenBuckets &Bank,
                                     const std::string &Tenant, TenantRate Rate,
--- a/tests/policy/test_token_bank.cpp
+++ b/tests/policy/test_token_bank.cpp
@@ -18,7 +18,7 @@
 
 TokenBuckets openAt(TimePoint Now) {
   TokenBuckets bank;
-  openBank(bank, Now - timing::GrantLifeAtGiver);
+  resetBuckets(bank, Now - timing::GrantLifeAtGiver);
   return bank;
 }
 
@@ -55,7 +55,7 @@
 
 TEST_CASE("bank of a new leader opens empty after earlier grants ended") {
   TokenBuckets bank;
-  openBank(bank, Start);
+  resetBuckets(bank, Start);
   CHECK(take(bank, 100, Start) == 0);
   TimePoint opens = Start + timing::GrantLifeAtGiver;
   CHECK(take(bank, 100, opens) == 0);
@@ -131,7 +131,7 @@
     for (int step = 0; step < 600; ++step) {
       now += Millis(random() % 60);
       if (chance(1))
-        openBank(bank, now);
+        resetBuckets(bank, now);
       size_t who = random() % 2;
       HeldGrants &held = holders[who];
       uint64_t cost = 1 + random() % 150;
