--- a/bench/site.cpp
+++ b/bench/site.cpp
@@ -279,8 +279,8 @@
       refundCharge(bank, it.tenant(), it.unspent(),
                    Now - Millis(it.charged_ago_ms()), rateOf(it.tenant()), Now);
   for (const wire::TenantGrant &it : Request.wanted()) {
-    auto grant = takeGrant(bank, it.tenant(), rateOf(it.tenant()),
-                           {"e", it.tokens(), it.least()}, Now);
+    auto grant = issueGrant(bank, it.tenant(), rateOf(it.tenant()),
+                            {"e", it.tokens(), it.least()}, Now);
     if (!grant)
       continue;
     wire::Grant &given = *reply.add_grants();
--- a/control/leadership.cpp
+++ b/control/leadership.cpp
@@ -47,8 +47,8 @@
   wire::GrantReply &reply = *message.mutable_grant_reply();
   reply.set_number(request.number());
   for (const wire::TenantGrant &it : request.wanted()) {
-    auto grant = takeGrant(State.Bank, it.tenant(), rateOf(State, it.tenant()),
-                           {Message.from(), it.tokens(), it.least()}, Now);
+    auto grant = issueGrant(State.Bank, it.tenant(), rateOf(State, it.tenant()),
+                            {Message.from(), it.tokens(), it.least()}, Now);
     if (!grant)
       continue;
     wire::Grant &given = *reply.add_grants();
--- a/policy/token_bank.cpp
+++ b/policy/token_bank.cpp
@@ -67,9 +67,9 @@
   Bank.OpensAt = Now + timing::GrantLifeAtGiver;
 }
 
-std::optional<TokenGrant> takeGrant(TokenBuckets &Bank,
-                                    const std::string &Tenant, TenantRate Rate,
-                                    const GrantWish &Wish, TimePoint Now) {
+std::optional<TokenGrant> issueGrant(TokenBuckets &Bank,
+                                     const std::string &Tenant, TenantRate Rate,
+                                     const GrantWish &Wish, TimePoint Now) {
   if (Now < Bank.OpensAt || Wish.Wanted == 0)
     return std::nullopt;
   TenantBucket &bucket = refill(Bank, Tenant, Rate, Now);
--- a/policy/token_bank.h
+++ b/policy/token_bank.h
@@ -79,9 +79,9 @@
 /// all grants that an earlier leader may have given have ended.
 void resetBuckets(TokenBuckets &Bank, TimePoint Now);
 /// Takes tokens of \p Tenant as \p Wish asks; nothing when there are too few.
-std::optional<TokenGrant> takeGrant(TokenBuckets &Bank,
-                                    const std::string &Tenant, TenantRate Rate,
-                                    const GrantWish &Wish, TimePoint Now);
+std::optional<TokenGrant> issueGrant(TokenBuckets &Bank,
+                                     const std::string &Tenant, TenantRate Rate,
+                                     const GrantWish &Wish, TimePoint Now);
 /// Takes back what is left of grant \p Id; unknown or ended ones are ignored.
 void returnGrant(TokenBuckets &Bank, const std::string &Tenant, uint64_t Id,
                  uint64_t Unspent, TenantRate Rate, TimePoint Now);
--- a/tests/policy/test_token_bank.cpp
+++ b/tests/policy/test_token_bank.cpp
@@ -24,7 +24,7 @@
 
 uint64_t take(TokenBuckets &Bank, uint64_t Wanted, TimePoint Now,
               uint64_t Least = 1, const char *Node = "entry-1") {
-  auto grant = takeGrant(Bank, "alpha", Rate, {Node, Wanted, Least}, Now);
+  auto grant = issueGrant(Bank, "alpha", Rate, {Node, Wanted, Least}, Now);
   return grant ? grant->Tokens : 0;
 }
 
@@ -76,7 +76,7 @@
   TokenBuckets bank = openAt(Start);
   take(bank, 1, Start);
   TimePoint now = Start + std::chrono::seconds(10);
-  auto grant = takeGrant(bank, "alpha", Rate, {"e", 300, 1}, now);
+  auto grant = issueGrant(bank, "alpha", Rate, {"e", 300, 1}, now);
   REQUIRE(grant);
   returnGrant(bank, "alpha", grant->Id, 5000, Rate, now);
   returnGrant(bank, "alpha", grant->Id, 300, Rate, now);
@@ -161,8 +161,8 @@
         reply.set_number(request.number());
         for (const auto &it : request.wanted()) {
           auto grant =
-              takeGrant(bank, "alpha", Rate,
-                        {std::to_string(who), it.tokens(), it.least()}, now);
+              issueGrant(bank, "alpha", Rate,
+                         {std::to_string(who), it.tokens(), it.least()}, now);
           if (!grant)
             continue;
           auto *given = reply.add_grants();
