--- a/bench/site.cpp
+++ b/bench/site.cpp
@@ -268,8 +268,8 @@
   auto rateOf = [](const std::string &Tenant) {
     for (const TenantPlan &it : Tenants)
       if (it.Name == Tenant)
-        return TenantRate{it.Rate / EntryCount, it.Burst / EntryCount};
-    return TenantRate{};
+        return OrganisationRate{it.Rate / EntryCount, it.Burst / EntryCount};
+    return OrganisationRate{};
   };
   for (const wire::GrantReturn &it : Request.returned())
     if (it.grant() != 0)
--- a/control/leadership.cpp
+++ b/control/leadership.cpp
@@ -10,7 +10,7 @@
 /// A node that was silent for so long is forgotten.
 constexpr std::chrono::minutes NodeMemory{5};
 
-TenantRate rateOf(const ControlState &State, const std::string &Tenant) {
+OrganisationRate rateOf(const ControlState &State, const std::string &Tenant) {
   const wire::TableRow *row = findRow(State.Fleet.Items, Tenant);
   if (!row || row->kind() != wire::ROW_TENANT)
     return {};
@@ -19,7 +19,7 @@
 
 void takeReturn(ControlState &State, const wire::GrantReturn &Return,
                 TimePoint Now) {
-  TenantRate rate = rateOf(State, Return.tenant());
+  OrganisationRate rate = rateOf(State, Return.tenant());
   if (Return.grant() != 0) {
     returnGrant(State.Bank, Return.tenant(), Return.grant(), Return.unspent(),
                 rate, Now);
--- a/policy/token_bank.cpp
+++ b/policy/token_bank.cpp
@@ -11,12 +11,12 @@
 /// A reserve ends when its holder does not ask again.
 constexpr Millis ReserveLife{1000};
 
-double headroom(const TenantBucket &Bucket, TenantRate Rate) {
+double headroom(const TenantBucket &Bucket, OrganisationRate Rate) {
   double taken = Bucket.Level + static_cast<double>(Bucket.OutstandingTokens);
   return std::max(0.0, static_cast<double>(Rate.Burst) - taken);
 }
 
-void markHeadroom(TenantBucket &Bucket, TenantRate Rate, TimePoint Now) {
+void markHeadroom(TenantBucket &Bucket, OrganisationRate Rate, TimePoint Now) {
   double room = headroom(Bucket, Rate);
   auto &marks = Bucket.Headroom;
   if (marks.empty() || Now - marks.back().SlotStart >= HeadroomSlot)
@@ -28,7 +28,7 @@
 
 /// Lets tokens come in until \p Now; what is in hands leaves no room for
 /// them.
-void refillUntil(TenantBucket &Bucket, TenantRate Rate, TimePoint Now) {
+void refillUntil(TenantBucket &Bucket, OrganisationRate Rate, TimePoint Now) {
   double room = static_cast<double>(Rate.Burst) -
                 static_cast<double>(Bucket.OutstandingTokens);
   if (Now > Bucket.RefilledAt) {
@@ -40,7 +40,7 @@
 }
 
 TenantBucket &refill(TokenBuckets &Bank, const std::string &Tenant,
-                     TenantRate Rate, TimePoint Now) {
+                     OrganisationRate Rate, TimePoint Now) {
   auto [it, isNew] = Bank.Buckets.try_emplace(Tenant);
   TenantBucket &bucket = it->second;
   if (isNew)
@@ -68,7 +68,8 @@
 }
 
 std::optional<TokenGrant> issueGrant(TokenBuckets &Bank,
-                                     const std::string &Tenant, TenantRate Rate,
+                                     const std::string &Tenant,
+                                     OrganisationRate Rate,
                                      const GrantWish &Wish, TimePoint Now) {
   if (Now < Bank.OpensAt || Wish.Wanted == 0)
     return std::nullopt;
@@ -93,7 +94,7 @@
 }
 
 void returnGrant(TokenBuckets &Bank, const std::string &Tenant, uint64_t Id,
-                 uint64_t Unspent, TenantRate Rate, TimePoint Now) {
+                 uint64_t Unspent, OrganisationRate Rate, TimePoint Now) {
   if (!Bank.Buckets.contains(Tenant))
     return;
   TenantBucket &bucket = refill(Bank, Tenant, Rate, Now);
@@ -110,7 +111,7 @@
 }
 
 void refundCharge(TokenBuckets &Bank, const std::string &Tenant,
-                  uint64_t Tokens, TimePoint ChargedAt, TenantRate Rate,
+                  uint64_t Tokens, TimePoint ChargedAt, OrganisationRate Rate,
                   TimePoint Now) {
   if (!Bank.Buckets.contains(Tenant))
     return;
--- a/policy/token_bank.h
+++ b/policy/token_bank.h
@@ -23,7 +23,7 @@
 inline constexpr Millis HeadroomSlot{1000};
 
 /// Rate in tokens a second and burst in tokens.
-struct TenantRate {
+struct OrganisationRate {
   uint64_t Rate = 0;
   uint64_t Burst = 0;
 };
@@ -80,15 +80,16 @@
 void resetBuckets(TokenBuckets &Bank, TimePoint Now);
 /// Takes tokens of \p Tenant as \p Wish asks; nothing when there are too few.
 std::optional<TokenGrant> issueGrant(TokenBuckets &Bank,
-                                     const std::string &Tenant, TenantRate Rate,
+                                     const std::string &Tenant,
+                                     OrganisationRate Rate,
                                      const GrantWish &Wish, TimePoint Now);
 /// Takes back what is left of grant \p Id; unknown or ended ones are ignored.
 void returnGrant(TokenBuckets &Bank, const std::string &Tenant, uint64_t Id,
-                 uint64_t Unspent, TenantRate Rate, TimePoint Now);
+                 uint64_t Unspent, OrganisationRate Rate, TimePoint Now);
 /// Takes back the part of a charge made at \p ChargedAt that was not needed,
 /// as far as the bucket had room for it ever since.
 void refundCharge(TokenBuckets &Bank, const std::string &Tenant,
-                  uint64_t Tokens, TimePoint ChargedAt, TenantRate Rate,
+                  uint64_t Tokens, TimePoint ChargedAt, OrganisationRate Rate,
                   TimePoint Now);
 
 } // namespace sassafras
--- a/tests/policy/test_token_bank.cpp
+++ b/tests/policy/test_token_bank.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr TenantRate Rate{100, 400};
+constexpr OrganisationRate Rate{100, 400};
 const TimePoint Start = TimePoint() + std::chrono::hours(1);
 
 TokenBuckets openAt(TimePoint Now) {
