--- a/control/control_state.h
+++ b/control/control_state.h
@@ -56,7 +56,7 @@
   std::map<uint64_t, PendingProposal> Pending;
   std::set<std::string> PendingItems;
   TokenBuckets Bank;
-  IdleState Idling;
+  ArrivalHistory Idling;
   uint64_t LedTerm = 0; ///< Term for which the soft state was set up.
   TimePoint LedSince;
   uint64_t FleetTimeBaseMs = 0;
--- a/policy/idling.cpp
+++ b/policy/idling.cpp
@@ -41,7 +41,8 @@
 
 } // namespace
 
-void recordArrivals(IdleState &State, const std::string &Row, TimePoint Now) {
+void recordArrivals(ArrivalHistory &State, const std::string &Row,
+                    TimePoint Now) {
   GapHistogram &gaps = State.Rows[Row];
   if (gaps.HasArrival) {
     std::chrono::duration<double> gap = Now - gaps.LastArrival;
@@ -57,7 +58,7 @@
   gaps.Sum /= 2;
 }
 
-Millis idleLimit(const IdleState &State, const std::string &Row,
+Millis idleLimit(const ArrivalHistory &State, const std::string &Row,
                  const IdleWeights &Weights) {
   // A row without habits stays as long as one cold start is worth.
   Millis unknown{static_cast<int64_t>(
--- a/policy/idling.h
+++ b/policy/idling.h
@@ -33,15 +33,16 @@
 };
 
 /// Gap habits of all rows.
-struct IdleState {
+struct ArrivalHistory {
   std::map<std::string, GapHistogram> Rows;
 };
 
 /// Requests for \p Row arrived at \p Now.
-void recordArrivals(IdleState &State, const std::string &Row, TimePoint Now);
+void recordArrivals(ArrivalHistory &State, const std::string &Row,
+                    TimePoint Now);
 /// Idle time after which \p Row is unloaded: the time that makes expected
 /// waiting and expected idling cheapest under the row's own gaps.
-Millis idleLimit(const IdleState &State, const std::string &Row,
+Millis idleLimit(const ArrivalHistory &State, const std::string &Row,
                  const IdleWeights &Weights);
 
 } // namespace sassafras
--- a/policy/placement.h
+++ b/policy/placement.h
@@ -48,7 +48,7 @@
   const ItemStore &Items;
   const std::map<std::string, RowDemand> &Demand;
   const std::map<std::string, EndpointUse> &Endpoints;
-  const IdleState &Idling;
+  const ArrivalHistory &Idling;
   IdleWeights Weights;
   StoreLimits Store;
   uint32_t LoadsAllowed = 0; ///< Model loads that may start now.
