--- a/entry/entry_state.cpp
+++ b/entry/entry_state.cpp
@@ -132,7 +132,7 @@
       State.View.NextHeartbeat = Now;
     break;
   case wire::Envelope::kGrantReply:
-    takeGrants(State.Tokens, Message.grant_reply());
+    acceptGrants(State.Tokens, Message.grant_reply());
     break;
   case wire::Envelope::kProposalReply:
     takeClaimReply(State, Message.proposal_reply(), Now, Out);
--- a/policy/held_grants.cpp
+++ b/policy/held_grants.cpp
@@ -107,7 +107,7 @@
   return request;
 }
 
-void takeGrants(HeldGrants &Held, const wire::GrantReply &Reply) {
+void acceptGrants(HeldGrants &Held, const wire::GrantReply &Reply) {
   auto sent = Held.Sent.find(Reply.number());
   if (sent == Held.Sent.end())
     return;
--- a/policy/held_grants.h
+++ b/policy/held_grants.h
@@ -62,7 +62,7 @@
 /// Makes the request and clears wishes and returns.
 wire::GrantRequest makeGrantRequest(HeldGrants &Held, TimePoint Now);
 /// Takes grants; a reply to no request of this process is ignored.
-void takeGrants(HeldGrants &Held, const wire::GrantReply &Reply);
+void acceptGrants(HeldGrants &Held, const wire::GrantReply &Reply);
 
 } // namespace sassafras
 
--- a/tests/policy/test_token_bank.cpp
+++ b/tests/policy/test_token_bank.cpp
@@ -179,7 +179,7 @@
         std::erase_if(replies[node], [&](auto &it) {
           if (it.first > now)
             return false;
-          takeGrants(holders[node], it.second);
+          acceptGrants(holders[node], it.second);
           return true;
         });
     }
