--- a/policy/held_grants.cpp
+++ b/policy/held_grants.cpp
@@ -45,7 +45,7 @@
   return true;
 }
 
-void wishTokens(HeldGrants &Held, const std::string &Tenant, uint64_t Cost) {
+void requestTokens(HeldGrants &Held, const std::string &Tenant, uint64_t Cost) {
   TenantWish &wish = Held.Wishes[Tenant];
   wish.Tokens += Cost * PrefetchFactor;
   wish.Least = wish.Least == 0 ? Cost : wish.Least;
--- a/policy/held_grants.h
+++ b/policy/held_grants.h
@@ -51,7 +51,7 @@
 bool spendTokens(HeldGrants &Held, const std::string &Tenant, uint64_t Tokens,
                  TimePoint Now);
 /// Notes that a request of \p Cost waits for tokens only.
-void wishTokens(HeldGrants &Held, const std::string &Tenant, uint64_t Cost);
+void requestTokens(HeldGrants &Held, const std::string &Tenant, uint64_t Cost);
 /// Notes a charge's part that was not needed, for the next request.
 void returnCharge(HeldGrants &Held, const std::string &Tenant, uint64_t Tokens,
                   TimePoint ChargedAt, TimePoint Now);
--- a/tests/policy/test_token_bank.cpp
+++ b/tests/policy/test_token_bank.cpp
@@ -144,7 +144,7 @@
           returnCharge(held, "alpha", unused, now, now);
         }
       } else {
-        wishTokens(held, "alpha", cost);
+        requestTokens(held, "alpha", cost);
       }
       returnGrants(held, false, now);
       if (needsGrantRequest(held, now)) {
