--- a/entry/dispatch.cpp
+++ b/entry/dispatch.cpp
@@ -262,7 +262,7 @@
 }
 
 void dispatchRequests(EntryState &State, TimePoint Now, EntryEffects &Out) {
-  State.Tokens.Wishes.clear();
+  State.Tokens.PendingDemands.clear();
   for (int turn = 0; turn < MaxTurns; ++turn) {
     std::vector<std::string> tenants = tenantsInTurn(State);
     bool isBusy = false;
@@ -274,7 +274,7 @@
       return;
     // The last turn's wishes are the ones that stand.
     if (turn + 1 < MaxTurns)
-      State.Tokens.Wishes.clear();
+      State.Tokens.PendingDemands.clear();
   }
 }
 
--- a/policy/held_grants.cpp
+++ b/policy/held_grants.cpp
@@ -46,7 +46,7 @@
 }
 
 void requestTokens(HeldGrants &Held, const std::string &Tenant, uint64_t Cost) {
-  TenantWish &wish = Held.Wishes[Tenant];
+  TenantWish &wish = Held.PendingDemands[Tenant];
   wish.Tokens += Cost * PrefetchFactor;
   wish.Least = wish.Least == 0 ? Cost : wish.Least;
 }
@@ -79,14 +79,14 @@
 }
 
 bool needsGrantRequest(const HeldGrants &Held, TimePoint Now) {
-  bool hasNews = !Held.Wishes.empty() || !Held.Returns.empty();
+  bool hasNews = !Held.PendingDemands.empty() || !Held.Returns.empty();
   return hasNews && isPast(Held.NextRequest, Now);
 }
 
 wire::GrantRequest makeGrantRequest(HeldGrants &Held, TimePoint Now) {
   wire::GrantRequest request;
   request.set_number(Held.NextNumber++);
-  for (const auto &[tenant, wish] : Held.Wishes) {
+  for (const auto &[tenant, wish] : Held.PendingDemands) {
     wire::TenantGrant &wanted = *request.add_wanted();
     wanted.set_tenant(tenant);
     wanted.set_tokens(wish.Tokens);
@@ -101,7 +101,7 @@
   std::erase_if(Held.Sent, [&](const auto &it) {
     return Now - it.second.At > timing::GrantLife;
   });
-  Held.Wishes.clear();
+  Held.PendingDemands.clear();
   Held.Returns.clear();
   Held.NextRequest = Now + timing::GrantRetry;
   return request;
--- a/policy/held_grants.h
+++ b/policy/held_grants.h
@@ -34,7 +34,7 @@
 
 struct HeldGrants {
   std::map<std::string, std::deque<HeldGrant>> Grants;
-  std::map<std::string, TenantWish> Wishes;
+  std::map<std::string, TenantWish> PendingDemands;
   std::vector<wire::GrantReturn> Returns;
   uint64_t NextNumber = 1; ///< Starts at the process's incarnation.
   std::map<uint64_t, SentGrantRequest> Sent;
