--- a/entry/entry_state.cpp
+++ b/entry/entry_state.cpp
@@ -21,7 +21,7 @@
   const wire::TableRow *row = findRow(State.View.Items, Tenant);
   if (!row)
     return std::numeric_limits<uint64_t>::max();
-  if (!State.Tokens.Short.contains(Tenant))
+  if (!State.Tokens.DepletedOrganisations.contains(Tenant))
     return row->burst();
   return heldTokens(State.Tokens, Tenant, Now) +
          row->rate() * static_cast<uint64_t>(LoadHorizon.count());
--- a/policy/held_grants.cpp
+++ b/policy/held_grants.cpp
@@ -111,12 +111,13 @@
   auto sent = Held.Sent.find(Reply.number());
   if (sent == Held.Sent.end())
     return;
-  Held.Short.insert(sent->second.Wanted.begin(), sent->second.Wanted.end());
+  Held.DepletedOrganisations.insert(sent->second.Wanted.begin(),
+                                    sent->second.Wanted.end());
   // The life counts from the sending, which was before the giving.
   TimePoint expires = sent->second.At + timing::GrantLife;
   for (const wire::Grant &it : Reply.grants()) {
     Held.Grants[it.tenant()].push_back({it.id(), it.tokens(), expires});
-    Held.Short.erase(it.tenant());
+    Held.DepletedOrganisations.erase(it.tenant());
   }
   // A second copy of the reply finds no request.
   Held.Sent.erase(sent);
--- a/policy/held_grants.h
+++ b/policy/held_grants.h
@@ -39,7 +39,7 @@
   uint64_t NextNumber = 1; ///< Starts at the process's incarnation.
   std::map<uint64_t, SentGrantRequest> Sent;
   /// Tenants whose bucket had too little when last asked.
-  std::set<std::string> Short;
+  std::set<std::string> DepletedOrganisations;
   TimePoint NextRequest;
 };
 
