--- a/control/observation.cpp
+++ b/control/observation.cpp
@@ -93,7 +93,7 @@
         continue;
       row.OldestWait = wait;
       row.IsLoaded = it.loaded();
-      row.Tenant = it.tenant();
+      row.Organisation = it.tenant();
     }
   }
   return sum;
--- a/policy/placement.cpp
+++ b/policy/placement.cpp
@@ -22,7 +22,7 @@
 
 double urgencyOf(const PlacementInput &Input, const wire::TableRow &Row,
                  const RowDemand &Demand) {
-  const wire::TableRow *tenant = findRow(Input.Items, Demand.Tenant);
+  const wire::TableRow *tenant = findRow(Input.Items, Demand.Organisation);
   double weight = Row.weight() * (tenant ? tenant->weight() : 1.0);
   return weight * static_cast<double>(Demand.OldestWait.count() + 1);
 }
--- a/policy/placement.h
+++ b/policy/placement.h
@@ -25,7 +25,7 @@
 struct RowDemand {
   uint32_t Waiting = 0;
   Millis OldestWait{0};
-  std::string Tenant; ///< Whose request has waited longest.
+  std::string Organisation; ///< Whose request has waited longest.
   /// They wait although the row is loaded, for as long as OldestWait says.
   bool IsLoaded = false;
 };
