--- a/policy/held_grants.cpp
+++ b/policy/held_grants.cpp
@@ -8,20 +8,20 @@
 
 namespace {
 
-/// Unspent grants go back this long before they end.
+/// Unspent grants are returned this long before they expire.
 constexpr Millis ReturnMargin{300};
-/// A charge asks for this many times its cost, so that the next requests of
-/// a busy tenant find tokens at hand.
+/// A request asks for this multiple of its cost, so that tokens are available
+/// for the next requests of a busy organisation.
 constexpr uint64_t PrefetchFactor = 2;
-/// The bucket was charged at most this long before the entry spent, and the
-/// refund reaches it at most this long after it was noted.
+/// The bucket was charged at most this long before the entry spent the tokens,
+/// and a refund reaches it at most this long after it was queued.
 constexpr Millis RefundMargin = timing::GrantLifeAtGiver + Millis(1000);
 
 } // namespace
 
-uint64_t heldTokens(const HeldGrants &Held, const std::string &Tenant,
+uint64_t heldTokens(const HeldGrants &Held, const std::string &Organisation,
                     TimePoint Now) {
-  auto it = Held.Grants.find(Tenant);
+  auto it = Held.Grants.find(Organisation);
   if (it == Held.Grants.end())
     return 0;
   uint64_t sum = 0;
@@ -31,11 +31,11 @@
   return sum;
 }
 
-bool spendTokens(HeldGrants &Held, const std::string &Tenant, uint64_t Tokens,
-                 TimePoint Now) {
-  if (heldTokens(Held, Tenant, Now) < Tokens)
+bool spendTokens(HeldGrants &Held, const std::string &Organisation,
+                 uint64_t Tokens, TimePoint Now) {
+  if (heldTokens(Held, Organisation, Now) < Tokens)
     return false;
-  for (HeldGrant &it : Held.Grants[Tenant]) {
+  for (HeldGrant &it : Held.Grants[Organisation]) {
     if (isPast(it.Expires, Now))
       continue;
     uint64_t part = std::min(Tokens, it.Tokens);
@@ -45,18 +45,19 @@
   return true;
 }
 
-void requestTokens(HeldGrants &Held, const std::string &Tenant, uint64_t Cost) {
-  TenantWish &wish = Held.PendingDemands[Tenant];
-  wish.Tokens += Cost * PrefetchFactor;
-  wish.Least = wish.Least == 0 ? Cost : wish.Least;
+void requestTokens(HeldGrants &Held, const std::string &Organisation,
+                   uint64_t Cost) {
+  TokenDemand &demand = Held.PendingDemands[Organisation];
+  demand.Tokens += Cost * PrefetchFactor;
+  demand.Minimum = demand.Minimum == 0 ? Cost : demand.Minimum;
 }
 
-void returnCharge(HeldGrants &Held, const std::string &Tenant, uint64_t Tokens,
-                  TimePoint ChargedAt, TimePoint Now) {
+void returnCharge(HeldGrants &Held, const std::string &Organisation,
+                  uint64_t Tokens, TimePoint ChargedAt, TimePoint Now) {
   if (Tokens == 0)
     return;
   wire::GrantReturn back;
-  back.set_tenant(Tenant);
+  back.set_tenant(Organisation);
   back.set_unspent(Tokens);
   back.set_charged_ago_ms(toMillis(Now - ChargedAt + RefundMargin));
   Held.Returns.push_back(std::move(back));
@@ -79,22 +80,22 @@
 }
 
 bool needsGrantRequest(const HeldGrants &Held, TimePoint Now) {
-  bool hasNews = !Held.PendingDemands.empty() || !Held.Returns.empty();
-  return hasNews && isPast(Held.NextRequest, Now);
+  bool hasContent = !Held.PendingDemands.empty() || !Held.Returns.empty();
+  return hasContent && isPast(Held.NextRequest, Now);
 }
 
 wire::GrantRequest makeGrantRequest(HeldGrants &Held, TimePoint Now) {
   wire::GrantRequest request;
   request.set_number(Held.NextNumber++);
-  for (const auto &[tenant, wish] : Held.PendingDemands) {
+  for (const auto &[organisation, demand] : Held.PendingDemands) {
     wire::TenantGrant &wanted = *request.add_wanted();
-    wanted.set_tenant(tenant);
-    wanted.set_tokens(wish.Tokens);
-    wanted.set_least(wish.Least);
+    wanted.set_tenant(organisation);
+    wanted.set_tokens(demand.Tokens);
+    wanted.set_least(demand.Minimum);
   }
   for (wire::GrantReturn &it : Held.Returns)
     *request.add_returned() = std::move(it);
-  SentGrantRequest &sent = Held.Sent[request.number()];
+  PendingGrantRequest &sent = Held.Sent[request.number()];
   sent.At = Now;
   for (const wire::TenantGrant &it : request.wanted())
     sent.Wanted.push_back(it.tenant());
@@ -113,13 +114,14 @@
     return;
   Held.DepletedOrganisations.insert(sent->second.Wanted.begin(),
                                     sent->second.Wanted.end());
-  // The life counts from the sending, which was before the giving.
+  // The lifetime counts from the time of sending, which precedes the time of
+  // granting.
   TimePoint expires = sent->second.At + timing::GrantLife;
   for (const wire::Grant &it : Reply.grants()) {
     Held.Grants[it.tenant()].push_back({it.id(), it.tokens(), expires});
     Held.DepletedOrganisations.erase(it.tenant());
   }
-  // A second copy of the reply finds no request.
+  // A duplicate of the reply then matches no pending request.
   Held.Sent.erase(sent);
   Held.NextRequest = TimePoint();
 }
--- a/policy/held_grants.h
+++ b/policy/held_grants.h
@@ -1,6 +1,6 @@
 /// \file
-/// Tokens that an entry holds for its tenants: grants of the control leader
-/// with their ends.
+/// Quota tokens that an entry holds for its organisations, as grants with
+/// expiry times issued by the control leader.
 #ifndef SASSAFRAS_POLICY_HELD_GRANTS_H
 #define SASSAFRAS_POLICY_HELD_GRANTS_H
 
@@ -21,47 +21,49 @@
   TimePoint Expires;
 };
 
-struct TenantWish {
+struct TokenDemand {
   uint64_t Tokens = 0;
-  uint64_t Least = 0;
+  uint64_t Minimum = 0;
 };
 
-/// A request for grants that was not answered yet.
-struct SentGrantRequest {
+/// A grant request that has not been answered yet.
+struct PendingGrantRequest {
   TimePoint At;
-  std::vector<std::string> Wanted; ///< Tenants.
+  std::vector<std::string> Wanted; ///< Organisations.
 };
 
 struct HeldGrants {
   std::map<std::string, std::deque<HeldGrant>> Grants;
-  std::map<std::string, TenantWish> PendingDemands;
+  std::map<std::string, TokenDemand> PendingDemands;
   std::vector<wire::GrantReturn> Returns;
-  uint64_t NextNumber = 1; ///< Starts at the process's incarnation.
-  std::map<uint64_t, SentGrantRequest> Sent;
-  /// Tenants whose bucket had too little when last asked.
+  uint64_t NextNumber = 1; ///< Starts at the incarnation of the process.
+  std::map<uint64_t, PendingGrantRequest> Sent;
+  /// Organisations whose bucket had too few tokens at the last request.
   std::set<std::string> DepletedOrganisations;
   TimePoint NextRequest;
 };
 
-/// Tokens of \p Tenant that can be spent at \p Now.
-uint64_t heldTokens(const HeldGrants &Held, const std::string &Tenant,
+/// Returns the tokens of \p Organisation that have not expired at \p Now.
+uint64_t heldTokens(const HeldGrants &Held, const std::string &Organisation,
                     TimePoint Now);
-/// Spends \p Tokens, the soonest ending first. False, and nothing spent, when
-/// there are too few.
-bool spendTokens(HeldGrants &Held, const std::string &Tenant, uint64_t Tokens,
-                 TimePoint Now);
-/// Notes that a request of \p Cost waits for tokens only.
-void requestTokens(HeldGrants &Held, const std::string &Tenant, uint64_t Cost);
-/// Notes a charge's part that was not needed, for the next request.
-void returnCharge(HeldGrants &Held, const std::string &Tenant, uint64_t Tokens,
-                  TimePoint ChargedAt, TimePoint Now);
-/// Moves grants that end soon, or all with \p All, to the returns.
+/// Spends \p Tokens from the grants that expire first. Returns false and spends
+/// nothing when too few are held.
+bool spendTokens(HeldGrants &Held, const std::string &Organisation,
+                 uint64_t Tokens, TimePoint Now);
+/// Records that a request of \p Cost waits only for tokens.
+void requestTokens(HeldGrants &Held, const std::string &Organisation,
+                   uint64_t Cost);
+/// Queues a refund of the unused part of a charge for the next grant request.
+void returnCharge(HeldGrants &Held, const std::string &Organisation,
+                  uint64_t Tokens, TimePoint ChargedAt, TimePoint Now);
+/// Moves grants that expire soon, or all if \p All, to the list of returns.
 void returnGrants(HeldGrants &Held, bool All, TimePoint Now);
-/// True when a request should be sent now.
+/// Returns true when a grant request should be sent now.
 bool needsGrantRequest(const HeldGrants &Held, TimePoint Now);
-/// Makes the request and clears wishes and returns.
+/// Builds the grant request and clears the pending demands and returns.
 wire::GrantRequest makeGrantRequest(HeldGrants &Held, TimePoint Now);
-/// Takes grants; a reply to no request of this process is ignored.
+/// Adds the granted tokens. Ignores a reply that matches no pending request of
+/// this process.
 void acceptGrants(HeldGrants &Held, const wire::GrantReply &Reply);
 
 } // namespace sassafras
--- a/policy/token_bank.cpp
+++ b/policy/token_bank.cpp
@@ -8,27 +8,29 @@
 
 namespace {
 
-/// A reserve ends when its holder does not ask again.
-constexpr Millis ReserveLife{1000};
+/// A reserve expires when its holder does not ask again within this time.
+constexpr Millis ReserveLifetime{1000};
 
-double headroom(const TenantBucket &Bucket, OrganisationRate Rate) {
+double headroom(const OrganisationBucket &Bucket, OrganisationRate Rate) {
   double taken = Bucket.Level + static_cast<double>(Bucket.OutstandingTokens);
   return std::max(0.0, static_cast<double>(Rate.Burst) - taken);
 }
 
-void markHeadroom(TenantBucket &Bucket, OrganisationRate Rate, TimePoint Now) {
+void recordHeadroom(OrganisationBucket &Bucket, OrganisationRate Rate,
+                    TimePoint Now) {
   double room = headroom(Bucket, Rate);
   auto &marks = Bucket.Headroom;
   if (marks.empty() || Now - marks.back().SlotStart >= HeadroomSlot)
     marks.push_back({Now, room});
-  marks.back().Least = std::min(marks.back().Least, room);
+  marks.back().Minimum = std::min(marks.back().Minimum, room);
   if (marks.size() > HeadroomSlots)
     marks.pop_front();
 }
 
-/// Lets tokens come in until \p Now; what is in hands leaves no room for
-/// them.
-void refillUntil(TenantBucket &Bucket, OrganisationRate Rate, TimePoint Now) {
+/// Refills the bucket up to \p Now. Outstanding grants reduce the level that it
+/// can reach.
+void refillUntil(OrganisationBucket &Bucket, OrganisationRate Rate,
+                 TimePoint Now) {
   double room = static_cast<double>(Rate.Burst) -
                 static_cast<double>(Bucket.OutstandingTokens);
   if (Now > Bucket.RefilledAt) {
@@ -39,14 +41,14 @@
   Bucket.Level = std::max(0.0, std::min(Bucket.Level, room));
 }
 
-TenantBucket &refill(TokenBuckets &Bank, const std::string &Tenant,
-                     OrganisationRate Rate, TimePoint Now) {
-  auto [it, isNew] = Bank.Buckets.try_emplace(Tenant);
-  TenantBucket &bucket = it->second;
+OrganisationBucket &refill(TokenBuckets &State, const std::string &Organisation,
+                           OrganisationRate Rate, TimePoint Now) {
+  auto [it, isNew] = State.Buckets.try_emplace(Organisation);
+  OrganisationBucket &bucket = it->second;
   if (isNew)
-    bucket.RefilledAt = Bank.OpensAt;
-  // Grants end in the order in which they were given. Each leaves room only
-  // from its end on, so that its tokens are never refilled twice.
+    bucket.RefilledAt = State.AvailableFrom;
+  // Grants expire in the order of issue. Each frees headroom only from its
+  // expiry on, so that its tokens are never refilled twice.
   while (!bucket.Outstanding.empty()) {
     auto oldest = bucket.Outstanding.begin();
     if (!isPast(oldest->second.Expires, Now))
@@ -56,48 +58,50 @@
     bucket.Outstanding.erase(oldest);
   }
   refillUntil(bucket, Rate, Now);
-  markHeadroom(bucket, Rate, Now);
+  recordHeadroom(bucket, Rate, Now);
   return bucket;
 }
 
 } // namespace
 
-void resetBuckets(TokenBuckets &Bank, TimePoint Now) {
-  Bank.Buckets.clear();
-  Bank.OpensAt = Now + timing::GrantLifeAtGiver;
+void resetBuckets(TokenBuckets &State, TimePoint Now) {
+  State.Buckets.clear();
+  State.AvailableFrom = Now + timing::GrantLifeAtGiver;
 }
 
-std::optional<TokenGrant> issueGrant(TokenBuckets &Bank,
-                                     const std::string &Tenant,
+std::optional<TokenGrant> issueGrant(TokenBuckets &State,
+                                     const std::string &Organisation,
                                      OrganisationRate Rate,
-                                     const GrantWish &Wish, TimePoint Now) {
-  if (Now < Bank.OpensAt || Wish.Wanted == 0)
+                                     const GrantDemand &Demand, TimePoint Now) {
+  if (Now < State.AvailableFrom || Demand.Wanted == 0)
     return std::nullopt;
-  TenantBucket &bucket = refill(Bank, Tenant, Rate, Now);
+  OrganisationBucket &bucket = refill(State, Organisation, Rate, Now);
   GrantReserve &reserve = bucket.Reserve;
-  bool isReserved = Now < reserve.Until && reserve.Node != Wish.Node;
-  double kept = isReserved ? static_cast<double>(reserve.Tokens) : 0.0;
-  auto free = static_cast<uint64_t>(std::max(0.0, bucket.Level - kept));
-  uint64_t tokens = std::min(Wish.Wanted, free);
-  if (tokens == 0 || tokens < Wish.Least) {
-    if (!isReserved)
-      reserve = {Wish.Node, Wish.Least, Now + ReserveLife};
+  bool isReservedForOther = Now < reserve.Until && reserve.Node != Demand.Node;
+  double reserved =
+      isReservedForOther ? static_cast<double>(reserve.Tokens) : 0.0;
+  auto free = static_cast<uint64_t>(std::max(0.0, bucket.Level - reserved));
+  uint64_t tokens = std::min(Demand.Wanted, free);
+  if (tokens == 0 || tokens < Demand.Minimum) {
+    if (!isReservedForOther)
+      reserve = {Demand.Node, Demand.Minimum, Now + ReserveLifetime};
     return std::nullopt;
   }
-  if (!isReserved)
+  if (!isReservedForOther)
     reserve = {};
-  TokenGrant grant{Bank.NextGrant++, tokens};
+  TokenGrant grant{State.NextGrant++, tokens};
   bucket.Level -= static_cast<double>(tokens);
   bucket.Outstanding[grant.Id] = {tokens, Now + timing::GrantLifeAtGiver};
   bucket.OutstandingTokens += tokens;
   return grant;
 }
 
-void returnGrant(TokenBuckets &Bank, const std::string &Tenant, uint64_t Id,
-                 uint64_t Unspent, OrganisationRate Rate, TimePoint Now) {
-  if (!Bank.Buckets.contains(Tenant))
+void returnGrant(TokenBuckets &State, const std::string &Organisation,
+                 uint64_t Id, uint64_t Unspent, OrganisationRate Rate,
+                 TimePoint Now) {
+  if (!State.Buckets.contains(Organisation))
     return;
-  TenantBucket &bucket = refill(Bank, Tenant, Rate, Now);
+  OrganisationBucket &bucket = refill(State, Organisation, Rate, Now);
   auto grant = bucket.Outstanding.find(Id);
   if (grant == bucket.Outstanding.end())
     return;
@@ -110,25 +114,25 @@
       std::max(0.0, std::min(bucket.Level + static_cast<double>(back), room));
 }
 
-void refundCharge(TokenBuckets &Bank, const std::string &Tenant,
+void refundCharge(TokenBuckets &State, const std::string &Organisation,
                   uint64_t Tokens, TimePoint ChargedAt, OrganisationRate Rate,
                   TimePoint Now) {
-  if (!Bank.Buckets.contains(Tenant))
+  if (!State.Buckets.contains(Organisation))
     return;
-  TenantBucket &bucket = refill(Bank, Tenant, Rate, Now);
+  OrganisationBucket &bucket = refill(State, Organisation, Rate, Now);
   const auto &marks = bucket.Headroom;
-  // A charge from before the oldest mark may have met a full bucket since.
+  // The bucket may have been full since a charge older than the oldest sample.
   if (marks.empty() || ChargedAt < marks.front().SlotStart)
     return;
   double least = static_cast<double>(Tokens);
   for (auto it = marks.rbegin(); it != marks.rend(); ++it) {
-    least = std::min(least, it->Least);
+    least = std::min(least, it->Minimum);
     if (it->SlotStart <= ChargedAt)
       break;
   }
   bucket.Level += least;
-  for (HeadroomMark &it : bucket.Headroom)
-    it.Least = std::max(0.0, it.Least - least);
+  for (HeadroomSample &it : bucket.Headroom)
+    it.Minimum = std::max(0.0, it.Minimum - least);
 }
 
 } // namespace sassafras
--- a/policy/token_bank.h
+++ b/policy/token_bank.h
@@ -1,10 +1,10 @@
 /// \file
-/// The one bucket of each tenant, kept by the control leader, and the grants
-/// taken from it by the entries.
+/// Token buckets of the organisations, one each, kept by the control leader,
+/// and the grants that it issues from them to the entries.
 ///
-/// The level and everything granted but not yet expired stay within the
-/// burst together, so spending over all hosts is at most rate * window +
-/// burst in any window. Loss and duplicates can only under-spend.
+/// The sum of a bucket's level and its outstanding grants never exceeds the
+/// burst, so spending over all hosts is at most rate * window + burst in any
+/// window. Lost and duplicated messages can only reduce spending.
 #ifndef SASSAFRAS_POLICY_TOKEN_BANK_H
 #define SASSAFRAS_POLICY_TOKEN_BANK_H
 
@@ -18,11 +18,11 @@
 
 namespace sassafras {
 
-/// Refunds reach back this far.
+/// Refunds are possible for charges within the last HeadroomSlots slots.
 inline constexpr size_t HeadroomSlots = 120;
 inline constexpr Millis HeadroomSlot{1000};
 
-/// Rate in tokens a second and burst in tokens.
+/// Rate in tokens per second and burst in tokens.
 struct OrganisationRate {
   uint64_t Rate = 0;
   uint64_t Burst = 0;
@@ -33,41 +33,42 @@
   TimePoint Expires;
 };
 
-/// Least room below the burst during one slot of time.
-struct HeadroomMark {
+/// Minimum headroom below the burst during one time slot.
+struct HeadroomSample {
   TimePoint SlotStart;
-  double Least = 0;
+  double Minimum = 0;
 };
 
-/// What one node asks for: up to Wanted tokens, but fewer than Least are of
-/// no use to it.
-struct GrantWish {
+/// Tokens that a node asks for: up to Wanted. Fewer than Minimum are of no use
+/// to it.
+struct GrantDemand {
   std::string Node;
   uint64_t Wanted = 0;
-  uint64_t Least = 0;
+  uint64_t Minimum = 0;
 };
 
-/// Tokens kept back for a node whose wish is larger than the level, so that
-/// small wishes of others cannot starve it.
+/// Tokens reserved for a node whose demand exceeds the level, so that small
+/// demands of other nodes cannot starve it.
 struct GrantReserve {
   std::string Node;
   uint64_t Tokens = 0;
   TimePoint Until;
 };
 
-struct TenantBucket {
+struct OrganisationBucket {
   double Level = 0;
   TimePoint RefilledAt;
   uint64_t OutstandingTokens = 0;
   std::map<uint64_t, OutstandingGrant> Outstanding;
-  std::deque<HeadroomMark> Headroom;
+  std::deque<HeadroomSample> Headroom;
   GrantReserve Reserve;
 };
 
 struct TokenBuckets {
-  TimePoint OpensAt; ///< Grants of an earlier leader have ended by then.
+  /// All grants of a previous leader have expired by then.
+  TimePoint AvailableFrom;
   uint64_t NextGrant = 1;
-  std::map<std::string, TenantBucket> Buckets;
+  std::map<std::string, OrganisationBucket> Buckets;
 };
 
 struct TokenGrant {
@@ -75,20 +76,23 @@
   uint64_t Tokens = 0;
 };
 
-/// Empties the bank for a new leader. Every bucket starts at level zero once
-/// all grants that an earlier leader may have given have ended.
-void resetBuckets(TokenBuckets &Bank, TimePoint Now);
-/// Takes tokens of \p Tenant as \p Wish asks; nothing when there are too few.
-std::optional<TokenGrant> issueGrant(TokenBuckets &Bank,
-                                     const std::string &Tenant,
+/// Clears all buckets for a new leader. Each starts at level zero once all
+/// grants that a previous leader may have issued have expired.
+void resetBuckets(TokenBuckets &State, TimePoint Now);
+/// Issues a grant to \p Demand from the bucket of \p Organisation. Returns
+/// nothing when there are too few tokens.
+std::optional<TokenGrant> issueGrant(TokenBuckets &State,
+                                     const std::string &Organisation,
                                      OrganisationRate Rate,
-                                     const GrantWish &Wish, TimePoint Now);
-/// Takes back what is left of grant \p Id; unknown or ended ones are ignored.
-void returnGrant(TokenBuckets &Bank, const std::string &Tenant, uint64_t Id,
-                 uint64_t Unspent, OrganisationRate Rate, TimePoint Now);
-/// Takes back the part of a charge made at \p ChargedAt that was not needed,
-/// as far as the bucket had room for it ever since.
-void refundCharge(TokenBuckets &Bank, const std::string &Tenant,
+                                     const GrantDemand &Demand, TimePoint Now);
+/// Returns the unspent tokens of grant \p Id to the bucket. Ignores unknown and
+/// expired grants.
+void returnGrant(TokenBuckets &State, const std::string &Organisation,
+                 uint64_t Id, uint64_t Unspent, OrganisationRate Rate,
+                 TimePoint Now);
+/// Refunds the unused part of a charge made at \p ChargedAt, up to the minimum
+/// headroom that the bucket has had since then.
+void refundCharge(TokenBuckets &State, const std::string &Organisation,
                   uint64_t Tokens, TimePoint ChargedAt, OrganisationRate Rate,
                   TimePoint Now);
 
--- a/tests/policy/test_token_bank.cpp
+++ b/tests/policy/test_token_bank.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The bucket of a tenant and the grants from it: never above rate * window +
-/// burst, whatever is lost, doubled or late.
+/// Tests of the token buckets and grants: spending never exceeds rate * window
+/// + burst, even if messages are lost, duplicated or late.
 #include "core/timing.h"
 #include "policy/held_grants.h"
 #include "policy/token_bank.h"
@@ -16,19 +16,19 @@
 constexpr OrganisationRate Rate{100, 400};
 const TimePoint Start = TimePoint() + std::chrono::hours(1);
 
-TokenBuckets openAt(TimePoint Now) {
-  TokenBuckets bank;
-  resetBuckets(bank, Now - timing::GrantLifeAtGiver);
-  return bank;
+TokenBuckets bucketsOpenAt(TimePoint Now) {
+  TokenBuckets buckets;
+  resetBuckets(buckets, Now - timing::GrantLifeAtGiver);
+  return buckets;
 }
 
-uint64_t take(TokenBuckets &Bank, uint64_t Wanted, TimePoint Now,
-              uint64_t Least = 1, const char *Node = "entry-1") {
-  auto grant = issueGrant(Bank, "alpha", Rate, {Node, Wanted, Least}, Now);
+uint64_t take(TokenBuckets &Buckets, uint64_t Wanted, TimePoint Now,
+              uint64_t Minimum = 1, const char *Node = "entry-1") {
+  auto grant = issueGrant(Buckets, "alpha", Rate, {Node, Wanted, Minimum}, Now);
   return grant ? grant->Tokens : 0;
 }
 
-/// Spending in order of time, against the stated bound.
+/// Tokens spent at one point in time.
 struct Spending {
   TimePoint At;
   double Tokens;
@@ -53,76 +53,79 @@
 
 } // namespace
 
-TEST_CASE("bank of a new leader opens empty after earlier grants ended") {
-  TokenBuckets bank;
-  resetBuckets(bank, Start);
-  CHECK(take(bank, 100, Start) == 0);
+TEST_CASE(
+    "buckets of a new leader start empty after earlier grants have expired") {
+  TokenBuckets buckets;
+  resetBuckets(buckets, Start);
+  CHECK(take(buckets, 100, Start) == 0);
   TimePoint opens = Start + timing::GrantLifeAtGiver;
-  CHECK(take(bank, 100, opens) == 0);
-  CHECK(take(bank, 100, opens + Millis(500)) == 50);
+  CHECK(take(buckets, 100, opens) == 0);
+  CHECK(take(buckets, 100, opens + Millis(500)) == 50);
 }
 
-TEST_CASE("bank counts grants in hands against the burst") {
-  TokenBuckets bank = openAt(Start);
-  CHECK(take(bank, 1, Start) == 0);
+TEST_CASE("bucket counts outstanding grants against the burst") {
+  TokenBuckets buckets = bucketsOpenAt(Start);
+  CHECK(take(buckets, 1, Start) == 0);
   TimePoint full = Start + std::chrono::seconds(10);
-  CHECK(take(bank, 1000, full) == 400);
-  // While all is in hands, nothing comes in on top.
-  CHECK(take(bank, 1000, full + std::chrono::seconds(2)) == 0);
-  CHECK(take(bank, 1000, full + std::chrono::seconds(4)) > 0);
+  CHECK(take(buckets, 1000, full) == 400);
+  // Nothing is refilled while the whole burst is granted and outstanding.
+  CHECK(take(buckets, 1000, full + std::chrono::seconds(2)) == 0);
+  CHECK(take(buckets, 1000, full + std::chrono::seconds(4)) > 0);
 }
 
-TEST_CASE("bank takes a grant back once, and never more than it gave") {
-  TokenBuckets bank = openAt(Start);
-  take(bank, 1, Start);
+TEST_CASE("bucket takes a returned grant once, and never more than it issued") {
+  TokenBuckets buckets = bucketsOpenAt(Start);
+  take(buckets, 1, Start);
   TimePoint now = Start + std::chrono::seconds(10);
-  auto grant = issueGrant(bank, "alpha", Rate, {"e", 300, 1}, now);
+  auto grant = issueGrant(buckets, "alpha", Rate, {"e", 300, 1}, now);
   REQUIRE(grant);
-  returnGrant(bank, "alpha", grant->Id, 5000, Rate, now);
-  returnGrant(bank, "alpha", grant->Id, 300, Rate, now);
-  returnGrant(bank, "alpha", 12345, 300, Rate, now);
-  CHECK(take(bank, 1000, now) == 400);
+  returnGrant(buckets, "alpha", grant->Id, 5000, Rate, now);
+  returnGrant(buckets, "alpha", grant->Id, 300, Rate, now);
+  returnGrant(buckets, "alpha", 12345, 300, Rate, now);
+  CHECK(take(buckets, 1000, now) == 400);
 }
 
-TEST_CASE("bank keeps tokens for a large wish that small ones would starve") {
-  TokenBuckets bank = openAt(Start);
-  take(bank, 1, Start);
+TEST_CASE(
+    "bucket reserves tokens for a large demand that small ones would starve") {
+  TokenBuckets buckets = bucketsOpenAt(Start);
+  take(buckets, 1, Start);
   TimePoint now = Start + Millis(1000);
-  CHECK(take(bank, 300, now, 300, "large") == 0);
-  CHECK(take(bank, 10, now + Millis(10), 10, "small") == 0);
+  CHECK(take(buckets, 300, now, 300, "large") == 0);
+  CHECK(take(buckets, 10, now + Millis(10), 10, "small") == 0);
   bool isServed = false;
   for (int i = 1; i <= 20 && !isServed; ++i) {
     now += Millis(200);
-    isServed = take(bank, 300, now, 300, "large") == 300;
-    take(bank, 10, now + Millis(1), 10, "small");
+    isServed = take(buckets, 300, now, 300, "large") == 300;
+    take(buckets, 10, now + Millis(1), 10, "small");
   }
   CHECK(isServed);
-  // A holder that does not ask again gives way.
+  // A reserve expires when its holder does not ask again.
   now += Millis(200);
-  take(bank, 400, now, 400, "gone");
-  CHECK(take(bank, 10, now + Millis(1500), 10, "small") == 10);
+  take(buckets, 400, now, 400, "gone");
+  CHECK(take(buckets, 10, now + Millis(1500), 10, "small") == 10);
 }
 
-TEST_CASE("refund is worth only what the bucket had room for ever since") {
-  TokenBuckets bank = openAt(Start);
-  take(bank, 1, Start);
+TEST_CASE("refund is limited by the headroom of the bucket since the charge") {
+  TokenBuckets buckets = bucketsOpenAt(Start);
+  take(buckets, 1, Start);
   TimePoint now = Start + std::chrono::seconds(10);
-  REQUIRE(take(bank, 400, now) == 400);
-  // Ten seconds later the bucket has been full again: nothing is owed.
+  REQUIRE(take(buckets, 400, now) == 400);
+  // Ten seconds later the bucket has been full again, so nothing is refunded.
   TimePoint later = now + std::chrono::seconds(10);
-  REQUIRE(take(bank, 400, later) == 400);
+  REQUIRE(take(buckets, 400, later) == 400);
   later += timing::GrantLifeAtGiver + Millis(100);
-  refundCharge(bank, "alpha", 400, now, Rate, later);
-  CHECK(take(bank, 1000, later) == 10);
+  refundCharge(buckets, "alpha", 400, now, Rate, later);
+  CHECK(take(buckets, 1000, later) == 10);
 }
 
-TEST_CASE("spending stays within the bound under loss, doubles and failover") {
+TEST_CASE(
+    "spending stays within the bound under loss, duplicates and failover") {
   for (uint64_t seed = 1; seed <= 1000; ++seed) {
     std::mt19937_64 random(seed);
     auto chance = [&](int Percent) {
       return static_cast<int>(random() % 100) < Percent;
     };
-    TokenBuckets bank = openAt(Start);
+    TokenBuckets buckets = bucketsOpenAt(Start);
     HeldGrants holders[2];
     std::vector<Spending> spent;
     std::vector<std::pair<TimePoint, wire::GrantReply>> replies[2];
@@ -131,14 +134,14 @@
     for (int step = 0; step < 600; ++step) {
       now += Millis(random() % 60);
       if (chance(1))
-        resetBuckets(bank, now);
+        resetBuckets(buckets, now);
       size_t who = random() % 2;
       HeldGrants &held = holders[who];
       uint64_t cost = 1 + random() % 150;
       if (spendTokens(held, "alpha", cost, now)) {
         spent.push_back({now, static_cast<double>(cost)});
         if (chance(50)) {
-          // Later on part of it turns out not to be needed.
+          // Part of the charge turns out to be unused.
           uint64_t unused = random() % cost;
           spent.back().Tokens -= static_cast<double>(unused);
           returnCharge(held, "alpha", unused, now, now);
@@ -153,15 +156,15 @@
           continue;
         for (const auto &it : request.returned())
           if (it.grant() != 0)
-            returnGrant(bank, "alpha", it.grant(), it.unspent(), Rate, now);
+            returnGrant(buckets, "alpha", it.grant(), it.unspent(), Rate, now);
           else
-            refundCharge(bank, "alpha", it.unspent(),
+            refundCharge(buckets, "alpha", it.unspent(),
                          now - Millis(it.charged_ago_ms()), Rate, now);
         wire::GrantReply reply;
         reply.set_number(request.number());
         for (const auto &it : request.wanted()) {
           auto grant =
-              issueGrant(bank, "alpha", Rate,
+              issueGrant(buckets, "alpha", Rate,
                          {std::to_string(who), it.tokens(), it.least()}, now);
           if (!grant)
             continue;
@@ -170,7 +173,7 @@
           given->set_tenant("alpha");
           given->set_tokens(grant->Tokens);
         }
-        // Replies come late, twice or never.
+        // Replies arrive late, twice or never.
         int copies = chance(10) ? 0 : chance(10) ? 2 : 1;
         for (int i = 0; i < copies; ++i)
           replies[who].push_back({now + Millis(random() % 3000), reply});
