--- a/policy/idling.cpp
+++ b/policy/idling.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Upper bound of bucket \p Index: 1 s, 2 s, 4 s and so on.
+/// Upper bound of bucket \p Index in seconds: 1, 2, 4 and so on.
 double upperSeconds(size_t Index) {
   return static_cast<double>(uint64_t{1} << Index);
 }
@@ -22,12 +22,13 @@
   return std::chrono::duration<double>(Span).count();
 }
 
-/// Expected cost of one gap when the row is unloaded after \p Limit seconds.
+/// Sum over the counted gaps of their cost when the row is unloaded after
+/// \p Limit seconds idle.
 double expectedCost(const GapHistogram &Gaps, double Limit,
                     const IdleWeights &Weights) {
   double cost = 0;
   for (size_t i = 0; i < GapBuckets; ++i) {
-    // The upper end is taken for the whole bucket: a gap is never assumed
+    // Uses the upper bound for the whole bucket, so that a gap is never assumed
     // to be shorter than it was.
     double gap = upperSeconds(i);
     if (gap <= Limit)
@@ -51,16 +52,17 @@
   }
   gaps.HasArrival = true;
   gaps.LastArrival = Now;
-  if (gaps.Sum < GapMemory)
+  if (gaps.Sum < GapDecayThreshold)
     return;
   for (double &it : gaps.Counts)
     it /= 2;
   gaps.Sum /= 2;
 }
 
-Millis idleLimit(const ArrivalHistory &State, const std::string &Row,
-                 const IdleWeights &Weights) {
-  // A row without habits stays as long as one cold start is worth.
+Millis idleTimeout(const ArrivalHistory &State, const std::string &Row,
+                   const IdleWeights &Weights) {
+  // Without enough recorded gaps, the row stays loaded for as long as one cold
+  // start is worth.
   Millis unknown{static_cast<int64_t>(
       static_cast<double>(Weights.LoadTime.count()) * Weights.ColdStartPrice)};
   Millis best = std::clamp(unknown, Weights.Shortest, Weights.Longest);
--- a/policy/idling.h
+++ b/policy/idling.h
@@ -1,5 +1,5 @@
 /// \file
-/// How long a replica stays loaded after its last request.
+/// Idle time-out after which a replica is unloaded.
 #ifndef SASSAFRAS_POLICY_IDLING_H
 #define SASSAFRAS_POLICY_IDLING_H
 
@@ -12,17 +12,18 @@
 
 namespace sassafras {
 
-/// Gaps between requests are counted in buckets that double in width.
+/// Number of histogram buckets for gaps between requests. Widths double.
 inline constexpr size_t GapBuckets = 14;
-/// Counts halve once they sum to this, so that old habits fade.
-inline constexpr double GapMemory = 64;
+/// Counts are halved once their sum reaches this, so that old gaps lose weight.
+inline constexpr double GapDecayThreshold = 64;
 
-/// What a deployment's weights say of idling.
+/// Cost weights and bounds of the idle time-out for one deployment.
 struct IdleWeights {
-  Millis Shortest{5'000}; ///< Never unloaded sooner when memory is free.
+  Millis Shortest{5'000}; ///< Lower bound while memory is free.
   Millis Longest{600'000};
-  Millis LoadTime{10'000};   ///< What a cold start costs a caller.
-  double ColdStartPrice = 3; ///< Idle seconds worth one second of waiting.
+  Millis LoadTime{10'000}; ///< Delay of a cold start for a caller.
+  /// Idle seconds that cost as much as one second of waiting.
+  double ColdStartPrice = 3;
 };
 
 struct GapHistogram {
@@ -32,18 +33,18 @@
   bool HasArrival = false;
 };
 
-/// Gap habits of all rows.
+/// Histograms of the gaps between arrivals for all rows.
 struct ArrivalHistory {
   std::map<std::string, GapHistogram> Rows;
 };
 
-/// Requests for \p Row arrived at \p Now.
+/// Records that requests for \p Row arrived at \p Now.
 void recordArrivals(ArrivalHistory &State, const std::string &Row,
                     TimePoint Now);
-/// Idle time after which \p Row is unloaded: the time that makes expected
-/// waiting and expected idling cheapest under the row's own gaps.
-Millis idleLimit(const ArrivalHistory &State, const std::string &Row,
-                 const IdleWeights &Weights);
+/// Returns the idle time after which \p Row is unloaded: the one that minimises
+/// the expected cost of waiting and idling under the row's own gap histogram.
+Millis idleTimeout(const ArrivalHistory &State, const std::string &Row,
+                   const IdleWeights &Weights);
 
 } // namespace sassafras
 
--- a/policy/placement.cpp
+++ b/policy/placement.cpp
@@ -9,12 +9,13 @@
 
 namespace {
 
-/// Waiting this long for a loaded row asks for a further replica.
+/// A wait of this length for a loaded row requests a further replica.
 constexpr Millis ScaleOutWait{1500};
-/// A replica used less than this ago is not evicted for another row.
+/// A replica that was used more recently than this is not evicted for another
+/// row.
 constexpr Millis EvictionIdle{1000};
 
-struct Wish {
+struct WaitingRow {
   const wire::TableRow *Row = nullptr;
   RowDemand Demand;
   double Urgency = 0;
@@ -22,37 +23,40 @@
 
 double urgencyOf(const PlacementInput &Input, const wire::TableRow &Row,
                  const RowDemand &Demand) {
-  const wire::TableRow *tenant = findRow(Input.Items, Demand.Organisation);
-  double weight = Row.weight() * (tenant ? tenant->weight() : 1.0);
+  const wire::TableRow *organisation =
+      findRow(Input.Items, Demand.Organisation);
+  double weight = Row.weight() * (organisation ? organisation->weight() : 1.0);
   return weight * static_cast<double>(Demand.OldestWait.count() + 1);
 }
 
-/// Rows with waiting requests, the most urgent first.
-std::vector<Wish> listWishes(const PlacementInput &Input) {
-  std::vector<Wish> wishes;
+/// Lists the rows with waiting requests by descending urgency.
+std::vector<WaitingRow> listWaitingRows(const PlacementInput &Input) {
+  std::vector<WaitingRow> waiting;
   for (const auto &[name, demand] : Input.Demand) {
     const wire::TableRow *row = findRow(Input.Items, name);
     bool isLoaded = row && (row->kind() == wire::ROW_MODEL ||
                             row->kind() == wire::ROW_ADAPTER);
     if (isLoaded && demand.Waiting > 0)
-      wishes.push_back({row, demand, urgencyOf(Input, *row, demand)});
+      waiting.push_back({row, demand, urgencyOf(Input, *row, demand)});
   }
-  std::stable_sort(
-      wishes.begin(), wishes.end(),
-      [](const Wish &A, const Wish &B) { return A.Urgency > B.Urgency; });
-  return wishes;
+  std::stable_sort(waiting.begin(), waiting.end(),
+                   [](const WaitingRow &A, const WaitingRow &B) {
+                     return A.Urgency > B.Urgency;
+                   });
+  return waiting;
 }
 
-/// Plans on a copy of the free memory while it makes several decisions.
+/// Makes several decisions in sequence and tracks their effect on a copy of the
+/// free memory.
 class Planner {
 public:
   explicit Planner(const PlacementInput &Input);
   PlacementDecision plan();
 
 private:
-  void serve(const Wish &Wish);
-  void serveModel(const wire::TableRow &Row);
-  void serveAdapter(const Wish &Wish);
+  void placeRow(const WaitingRow &WaitingRow);
+  void placeModel(const wire::TableRow &Row);
+  void placeAdapter(const WaitingRow &WaitingRow);
   void load(const wire::Endpoint &Endpoint, const wire::TableRow &Row);
   void unload(const wire::Replica &Replica);
   bool evictFor(const wire::Endpoint &Endpoint, uint64_t MemoryMb,
@@ -73,7 +77,7 @@
   std::map<std::string, std::vector<const wire::Replica *>> ByRow;
   std::map<std::string, std::vector<const wire::Replica *>> ByEndpoint;
   std::map<std::string, int64_t> Free;
-  std::set<const wire::Replica *> Leaving;
+  std::set<const wire::Replica *> PlannedUnloads;
   uint32_t ModelsLoading = 0;
   uint32_t AdaptersLoading = 0;
   uint32_t LoadsLeft;
@@ -107,7 +111,7 @@
   return it == endpoint->second.Replicas.end() ? nullptr : &it->second;
 }
 
-/// True when requests wait for the row or for an adapter on it.
+/// Returns true when requests wait for the row or for an adapter based on it.
 bool Planner::isWanted(const wire::Replica &Replica) const {
   auto isWaiting = [&](const std::string &Row) {
     auto it = Input.Demand.find(Row);
@@ -126,14 +130,15 @@
 bool Planner::mayUnload(const wire::Replica &Replica) const {
   const ReplicaUse *use = useOf(Replica);
   return Replica.phase() == wire::PHASE_LOADED && use && use->Running == 0 &&
-         !Leaving.contains(&Replica);
+         !PlannedUnloads.contains(&Replica);
 }
 
 int64_t Planner::freeMemory(const wire::Endpoint &Endpoint) const {
   return Free.at(Endpoint.name());
 }
 
-/// Higher is better: weights at hand first, then room.
+/// Higher is better: cached weights first, then enough free memory, then more
+/// of it.
 double Planner::scoreOf(const wire::Endpoint &Endpoint,
                         const wire::TableRow &Row) const {
   constexpr double CachedBonus = 1e9;
@@ -180,27 +185,28 @@
 }
 
 void Planner::unload(const wire::Replica &Replica) {
-  Leaving.insert(&Replica);
+  PlannedUnloads.insert(&Replica);
   wire::Replica order = Replica;
   order.set_phase(wire::PHASE_UNLOADING);
   Decision.Unload.push_back(std::move(order));
 }
 
-/// Orders enough idle replicas away, the longest idle first. False when the
-/// endpoint cannot make the room.
+/// Evicts enough idle replicas, adapters before models and the longest idle
+/// first. Returns false when the endpoint cannot free enough memory.
 bool Planner::evictFor(const wire::Endpoint &Endpoint, uint64_t MemoryMb,
                        const std::string &KeptRow) {
   int64_t room = freeMemory(Endpoint);
   std::vector<const wire::Replica *> victims;
   for (const wire::Replica *it : ByEndpoint[Endpoint.name()]) {
-    if (it->phase() == wire::PHASE_UNLOADING || Leaving.contains(it))
+    if (it->phase() == wire::PHASE_UNLOADING || PlannedUnloads.contains(it))
       room += static_cast<int64_t>(it->memory_mb());
     else if (mayUnload(*it) && it->row() != KeptRow && !isWanted(*it) &&
              useOf(*it)->Idle >= EvictionIdle)
       victims.push_back(it);
   }
   auto needed = static_cast<int64_t>(MemoryMb);
-  // Adapters go before models, since a model can't leave below them.
+  // Adapters are evicted before models: a model cannot be unloaded while
+  // adapters on it are loaded.
   std::stable_sort(victims.begin(), victims.end(),
                    [&](const wire::Replica *A, const wire::Replica *B) {
                      if (A->is_adapter() != B->is_adapter())
@@ -221,7 +227,7 @@
   return true;
 }
 
-void Planner::serveModel(const wire::TableRow &Row) {
+void Planner::placeModel(const wire::TableRow &Row) {
   if (ByRow[Row.name()].size() >= Row.max_replicas())
     return;
   if (LoadsLeft == 0 || ModelsLoading >= Input.Store.LoadsAtOnce)
@@ -238,18 +244,18 @@
       return;
 }
 
-void Planner::serveAdapter(const Wish &Wish) {
-  const wire::TableRow &row = *Wish.Row;
+void Planner::placeAdapter(const WaitingRow &WaitingRow) {
+  const wire::TableRow &row = *WaitingRow.Row;
   const wire::TableRow *base = findRow(Input.Items, row.base());
   if (!base)
     return;
-  const wire::Endpoint *crowded = nullptr;
-  bool isBaseComing = false;
+  const wire::Endpoint *fullEndpoint = nullptr;
+  bool isBaseLoading = false;
   for (const wire::Replica *it : ByRow[base->name()]) {
     const wire::Endpoint *endpoint = findEndpoint(Input.Items, it->endpoint());
-    if (!endpoint || !isUsable(*endpoint) || Leaving.contains(it))
+    if (!endpoint || !isUsable(*endpoint) || PlannedUnloads.contains(it))
       continue;
-    isBaseComing |= it->phase() == wire::PHASE_LOADING;
+    isBaseLoading |= it->phase() == wire::PHASE_LOADING;
     if (it->phase() != wire::PHASE_LOADED ||
         findReplica(Input.Items, endpoint->name(), row.name()))
       continue;
@@ -258,36 +264,37 @@
         load(*endpoint, row);
       return;
     }
-    crowded = endpoint;
+    fullEndpoint = endpoint;
   }
-  if (crowded && evictFor(*crowded, row.memory_mb(), base->name()))
+  if (fullEndpoint && evictFor(*fullEndpoint, row.memory_mb(), base->name()))
     return;
-  if (!isBaseComing)
-    serveModel(*base);
+  if (!isBaseLoading)
+    placeModel(*base);
 }
 
-void Planner::serve(const Wish &Wish) {
+void Planner::placeRow(const WaitingRow &WaitingRow) {
   uint32_t ready = 0;
-  uint32_t coming = 0;
-  for (const wire::Replica *it : ByRow[Wish.Row->name()]) {
+  uint32_t loading = 0;
+  for (const wire::Replica *it : ByRow[WaitingRow.Row->name()]) {
     const wire::Endpoint *endpoint = findEndpoint(Input.Items, it->endpoint());
     bool isLive = endpoint && isUsable(*endpoint);
     ready += isLive && it->phase() == wire::PHASE_LOADED;
-    coming += it->phase() == wire::PHASE_LOADING;
+    loading += it->phase() == wire::PHASE_LOADING;
   }
-  if (coming > 0)
+  if (loading > 0)
     return;
-  // Reports made before the load ended say nothing about a further replica.
-  bool isCrowded =
-      Wish.Demand.IsLoaded && Wish.Demand.OldestWait >= ScaleOutWait;
-  if (ready > 0 && !isCrowded)
+  // Waits reported before the row was loaded are no reason for a further
+  // replica.
+  bool isOverloaded = WaitingRow.Demand.IsLoaded &&
+                      WaitingRow.Demand.OldestWait >= ScaleOutWait;
+  if (ready > 0 && !isOverloaded)
     return;
-  if (ByRow[Wish.Row->name()].size() >= Wish.Row->max_replicas())
+  if (ByRow[WaitingRow.Row->name()].size() >= WaitingRow.Row->max_replicas())
     return;
-  if (Wish.Row->kind() == wire::ROW_ADAPTER)
-    serveAdapter(Wish);
+  if (WaitingRow.Row->kind() == wire::ROW_ADAPTER)
+    placeAdapter(WaitingRow);
   else
-    serveModel(*Wish.Row);
+    placeModel(*WaitingRow.Row);
 }
 
 void Planner::unloadIdle() {
@@ -300,7 +307,7 @@
       if (!mayUnload(*it) || isWanted(*it) || bases.contains(it->row()))
         continue;
       bool isRowGone = !findRow(Input.Items, it->row());
-      Millis limit = idleLimit(Input.Idling, it->row(), Input.Weights);
+      Millis limit = idleTimeout(Input.Idling, it->row(), Input.Weights);
       if (isRowGone || useOf(*it)->Idle >= limit)
         unload(*it);
     }
@@ -308,8 +315,8 @@
 }
 
 PlacementDecision Planner::plan() {
-  for (const Wish &it : listWishes(Input))
-    serve(it);
+  for (const WaitingRow &it : listWaitingRows(Input))
+    placeRow(it);
   unloadIdle();
   return std::move(Decision);
 }
--- a/policy/placement.h
+++ b/policy/placement.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which replica to load or unload next, and where.
+/// Decides which replicas to load or unload next and on which endpoints.
 #ifndef SASSAFRAS_POLICY_PLACEMENT_H
 #define SASSAFRAS_POLICY_PLACEMENT_H
 
@@ -14,32 +14,35 @@
 
 namespace sassafras {
 
-/// What the weight store allows.
+/// Limits of the weight store.
 struct StoreLimits {
   uint32_t LoadsPerSecond = 5;
   uint32_t LoadsAtOnce = 4;
   uint32_t AdaptersAtOnce = 32;
 };
 
-/// Requests of all entries that wait for a row.
+/// Requests of all entries that wait for a row of the serving table.
 struct RowDemand {
   uint32_t Waiting = 0;
   Millis OldestWait{0};
-  std::string Organisation; ///< Whose request has waited longest.
-  /// They wait although the row is loaded, for as long as OldestWait says.
+  /// Organisation of the request that has waited longest.
+  std::string Organisation;
+  /// The requests wait although the row is loaded, the oldest for OldestWait.
   bool IsLoaded = false;
 };
 
-/// What an agent said last of one replica.
+/// Last report of an agent about one replica.
 struct ReplicaUse {
   uint32_t Running = 0;
   Millis Idle{0};
 };
 
-/// What the leader knows of one endpoint beyond its record.
+/// State of one endpoint that is known to the leader but not part of its
+/// record.
 struct EndpointUse {
   bool IsLive = false;
-  bool HasUnknownReplicas = false; ///< Holds replicas that nobody decided.
+  /// Holds replicas that no placement decision created.
+  bool HasUnknownReplicas = false;
   std::set<std::string> CachedRows;
   std::map<std::string, ReplicaUse> Replicas;
 };
@@ -51,17 +54,17 @@
   const ArrivalHistory &Idling;
   IdleWeights Weights;
   StoreLimits Store;
-  uint32_t LoadsAllowed = 0; ///< Model loads that may start now.
+  uint32_t LoadsAllowed = 0; ///< Number of model loads that may start now.
 };
 
-/// Replicas to load and to unload, as they shall stand in the record.
+/// Replicas to load and to unload, as they will be recorded.
 struct PlacementDecision {
   std::vector<wire::Replica> Load;
   std::vector<wire::Replica> Unload;
 };
 
-/// Decides on the present state. Pure and thread safe. Each decision is
-/// checked again when its record is applied.
+/// Decides for the current state. Pure and thread safe. Each decision is
+/// validated again when its record is applied.
 PlacementDecision decidePlacement(const PlacementInput &Input);
 
 } // namespace sassafras
