--- a/policy/model_plan.cpp
+++ b/policy/model_plan.cpp
@@ -8,61 +8,68 @@
 
 namespace {
 
-/// A replica beyond what the load asks for is worth this part of its share.
-constexpr double SpareValue = 0.03;
-/// Requests at an engine slow a change there: worth lost for a full engine.
+/// Fraction of its share of the worth that a replica beyond the needed number
+/// has.
+constexpr double SurplusReplicaFactor = 0.03;
+/// Requests in progress slow down a load on the same engine. Worth lost when
+/// all slots of the engine are in use.
 constexpr double BusyEngineCost = 4.0;
-/// A load from the store is no dearer than this many seconds of its demand:
-/// it also brings the weights near for later.
-constexpr double MostLoadSeconds = 2.0;
-/// An unload waits for running requests: for one about half of its time, for
-/// several at once until the last of them.
-constexpr double SecondsForRun = 0.7;
-constexpr double MostRunsCounted = 5;
-/// Replicas and worth a second of a model with adapters before it is asked for.
+/// Upper bound on the load time that is charged against the demand, in seconds.
+/// A load from the store also caches the weights for later loads.
+constexpr double MaxChargedLoadSeconds = 2.0;
+/// An unload waits for the running requests: on average about half the duration
+/// of a single request, for several requests until the last one ends.
+constexpr double UnloadSecondsPerRequest = 0.7;
+constexpr double MaxCountedRequests = 5;
+/// Minimum number of replicas and worth per second of a model with adapters,
+/// also before any request for it.
 constexpr size_t AdapterModelReplicas = 2;
 constexpr double AdapterModelWorth = 2.0;
-/// An engine that is under order for longer than this is no place from which a
-/// model can be loaded soon.
-constexpr Millis SoonFree{2'500};
-/// Models of one engine among which those that give way are chosen by trying
-/// all; an engine holds a few.
-constexpr size_t MostTried = 8;
-/// Steps in which free memory is counted, in MB.
+/// An engine that is blocked by an order for longer than this is not counted as
+/// one where a model can be loaded soon.
+constexpr Millis MaxWaitForEngine{2'500};
+/// Number of models of one engine that are considered for eviction. All subsets
+/// are tried; an engine holds only a few models.
+constexpr size_t MaxVictims = 8;
+/// Granularity in MB of the memory accounting.
 constexpr uint64_t MemoryStep = 100;
-/// A replica is lost together with its engine now and then; two are kept of
-/// models with at least so many requests under way.
-constexpr double SafeBusy = 4.0;
+/// Engines are lost now and then with the replicas on them. Models with at
+/// least this many requests in progress or waiting have two replicas or more.
+constexpr double RedundancyThreshold = 4.0;
 
 struct ModelState {
   const ModelSpec *Spec = nullptr;
   ModelDemand Demand;
-  size_t Replicas = 0; ///< Loaded or on their way.
+  size_t Replicas = 0; ///< Loaded or loading.
   size_t Wanted = 0;
-  size_t Near = 0; ///< Engines where its weights lie and can be loaded soon.
+  /// Engines that have its weights and can load them soon.
+  size_t NearbyEngines = 0;
 };
 
 using ModelStates = std::map<std::string, ModelState>;
 
-/// What the parts of one plan share.
+/// Data shared by the steps of one planning run.
 struct PlanView {
   const PlanInput &Input;
   ModelStates States;
-  /// Of each number of free steps, how many models could fill.
-  std::vector<uint64_t> Fillable;
-  double WorthPerStep = 0; ///< A second, of memory that a rare model fills.
+  /// For each number of free memory steps, the largest number of steps that a
+  /// combination of models can fill.
+  std::vector<uint64_t> FillableSteps;
+  /// Worth per second of a memory step, averaged over models with at most one
+  /// replica wanted.
+  double WorthPerStep = 0;
 };
 
 uint64_t stepsOf(uint64_t Mb) { return (Mb + MemoryStep - 1) / MemoryStep; }
 
-/// How much of \p FreeMb models could fill, in steps.
+/// Returns how much of \p FreeMb models could fill, in memory steps.
 uint64_t fillable(const PlanView &View, uint64_t FreeMb) {
   uint64_t steps =
-      std::min<uint64_t>(FreeMb / MemoryStep, View.Fillable.size() - 1);
-  return View.Fillable[steps];
+      std::min<uint64_t>(FreeMb / MemoryStep, View.FillableSteps.size() - 1);
+  return View.FillableSteps[steps];
 }
 
-void fillMemoryTables(PlanView &View) {
+void buildMemoryTable(PlanView &View) {
   const EngineSpec &spec = View.Input.Spec;
   std::set<uint64_t> sizes;
   double worth = 0;
@@ -75,33 +82,35 @@
     steps += stepsOf(state.Spec->WeightsMb);
   }
   View.WorthPerStep = steps > 0 ? worth / static_cast<double>(steps) : 0;
-  View.Fillable.assign(spec.WeightsMb / MemoryStep + 1, 0);
-  for (uint64_t free = 1; free < View.Fillable.size(); ++free)
+  View.FillableSteps.assign(spec.WeightsMb / MemoryStep + 1, 0);
+  for (uint64_t free = 1; free < View.FillableSteps.size(); ++free)
     for (uint64_t size : sizes)
       if (size > 0 && size <= free)
-        View.Fillable[free] =
-            std::max(View.Fillable[free], View.Fillable[free - size] + size);
+        View.FillableSteps[free] = std::max(
+            View.FillableSteps[free], View.FillableSteps[free - size] + size);
 }
 
-/// Worth a second that the last of \p Replicas replicas brings.
+/// Returns the worth per second that the last of \p Replicas replicas adds.
 double lastReplicaValue(const ModelState &Model, size_t Replicas) {
   double worth = Model.Demand.WorthPerSecond;
   if (Replicas <= 1)
     return worth;
   double part = worth / static_cast<double>(Replicas);
-  return Replicas <= Model.Wanted ? part : part * SpareValue;
+  return Replicas <= Model.Wanted ? part : part * SurplusReplicaFactor;
 }
 
-/// Seconds that an unload of \p Model waits for its running requests.
+/// Estimates the seconds that an unload of \p Model waits for its running
+/// requests.
 double unloadDelay(const PlanEngine &Engine, const std::string &Model) {
   auto running = Engine.Running.find(Model);
   if (running == Engine.Running.end())
     return 0;
-  return SecondsForRun * std::min<double>(running->second, MostRunsCounted);
+  return UnloadSecondsPerRequest *
+         std::min<double>(running->second, MaxCountedRequests);
 }
 
-/// Models that the engine holds or has the weights of.
-std::set<std::string> modelsNear(const PlanEngine &Engine) {
+/// Lists the models that are loaded on the engine or have their weights there.
+std::set<std::string> modelsWithLocalWeights(const PlanEngine &Engine) {
   std::set<std::string> out = Engine.Models;
   out.insert(Engine.InMemory.begin(), Engine.InMemory.end());
   out.insert(Engine.OnDisk.begin(), Engine.OnDisk.end());
@@ -117,7 +126,8 @@
     if (demand != Input.Demand.end())
       state.Demand = demand->second;
     state.Wanted = wantedReplicas(state.Demand.Busy, Input.Spec.Slots);
-    // A model with adapters serves many and may become busy within seconds.
+    // A model with adapters serves many requests and may become busy within
+    // seconds.
     if (spec.AdapterCount > 0) {
       state.Wanted = std::max(state.Wanted, AdapterModelReplicas);
       state.Demand.WorthPerSecond =
@@ -130,10 +140,10 @@
     for (const std::string &it : engine.Models)
       if (auto found = states.find(it); found != states.end())
         ++found->second.Replicas;
-    if (engine.TimeUntilFree <= SoonFree)
-      for (const std::string &it : modelsNear(engine))
+    if (engine.TimeUntilFree <= MaxWaitForEngine)
+      for (const std::string &it : modelsWithLocalWeights(engine))
         if (auto found = states.find(it); found != states.end())
-          ++found->second.Near;
+          ++found->second.NearbyEngines;
     if (auto found = states.find(engine.Loading); found != states.end())
       if (!engine.Models.contains(engine.Loading))
         ++found->second.Replicas;
@@ -141,54 +151,58 @@
   return states;
 }
 
-/// What making room at one engine costs.
-struct Room {
+/// Models to evict from one engine and the cost of doing so.
+struct EvictionPlan {
   std::vector<std::string> Evict;
   double LostPerSecond = 0;
   double DelaySeconds = 0;
-  double Cost = 0;  ///< Against what a load brings.
-  double Waste = 0; ///< Against other ways to make room.
+  double Cost = 0;              ///< Compared with the gain of the load.
+  double FragmentationCost = 0; ///< Only compared with other eviction plans.
 };
 
-/// A model that may give way.
+/// A model that may be evicted.
 struct Victim {
   const std::string *Name;
-  double Value; ///< A second.
+  double Value; ///< Worth per second.
   double Delay; ///< Seconds.
   uint64_t Mb;
 };
 
-/// Cost of giving up those of \p Victims that \p Chosen names by bits; nothing
-/// when that does not make enough room.
-std::optional<Room> tryRoom(const PlanView &View,
-                            const std::vector<Victim> &Victims, size_t Chosen,
-                            uint64_t UsedMb, uint64_t NeededMb, double Worth) {
-  Room room;
+/// Evaluates the eviction of those \p Victims whose bits are set in \p Chosen.
+/// Returns nothing when that does not free enough memory.
+std::optional<EvictionPlan> evaluateEviction(const PlanView &View,
+                                             const std::vector<Victim> &Victims,
+                                             size_t Chosen, uint64_t UsedMb,
+                                             uint64_t NeededMb, double Worth) {
+  EvictionPlan eviction;
   uint64_t after = UsedMb + NeededMb;
   for (size_t i = 0; i < Victims.size(); ++i) {
     if ((Chosen >> i & 1U) == 0)
       continue;
     after -= Victims[i].Mb;
-    room.LostPerSecond += Victims[i].Value;
-    room.DelaySeconds = std::max(room.DelaySeconds, Victims[i].Delay);
+    eviction.LostPerSecond += Victims[i].Value;
+    eviction.DelaySeconds = std::max(eviction.DelaySeconds, Victims[i].Delay);
   }
   uint64_t whole = View.Input.Spec.WeightsMb;
   if (after > whole)
     return std::nullopt;
-  // Memory that models could fill before, and cannot fill any more.
+  // Memory that models could fill before and no longer can: fragmentation.
   auto before =
       static_cast<double>(stepsOf(UsedMb) + fillable(View, whole - UsedMb));
   auto left =
       static_cast<double>(stepsOf(after) + fillable(View, whole - after));
-  room.Waste = (before - left) * View.WorthPerStep * PayBackSeconds;
-  room.Cost = room.LostPerSecond * PayBackSeconds + room.DelaySeconds * Worth;
-  return room;
+  eviction.FragmentationCost =
+      (before - left) * View.WorthPerStep * PaybackSeconds;
+  eviction.Cost =
+      eviction.LostPerSecond * PaybackSeconds + eviction.DelaySeconds * Worth;
+  return eviction;
 }
 
-/// The cheapest way to \p NeededMb of free memory. \p Worth is lost for each
-/// second of delay.
-std::optional<Room> makeRoom(const PlanEngine &Engine, const PlanView &View,
-                             uint64_t NeededMb, double Worth) {
+/// Finds the cheapest evictions that free \p NeededMb. \p Worth is lost for
+/// each second of delay.
+std::optional<EvictionPlan> planEviction(const PlanEngine &Engine,
+                                         const PlanView &View,
+                                         uint64_t NeededMb, double Worth) {
   uint64_t used = Engine.ReservedMb;
   std::vector<Victim> victims;
   for (const std::string &it : Engine.Models) {
@@ -207,17 +221,19 @@
     return std::nullopt;
   std::sort(victims.begin(), victims.end(),
             [&](const Victim &A, const Victim &B) {
-              return A.Value * PayBackSeconds + A.Delay * Worth <
-                     B.Value * PayBackSeconds + B.Delay * Worth;
+              return A.Value * PaybackSeconds + A.Delay * Worth <
+                     B.Value * PaybackSeconds + B.Delay * Worth;
             });
-  victims.resize(std::min(victims.size(), MostTried));
-  std::optional<Room> best;
+  victims.resize(std::min(victims.size(), MaxVictims));
+  std::optional<EvictionPlan> best;
   size_t bestChosen = 0;
   for (size_t chosen = 0; chosen < size_t(1) << victims.size(); ++chosen) {
-    auto room = tryRoom(View, victims, chosen, used, NeededMb, Worth);
-    if (!room || (best && best->Cost + best->Waste <= room->Cost + room->Waste))
+    auto eviction =
+        evaluateEviction(View, victims, chosen, used, NeededMb, Worth);
+    if (!eviction || (best && best->Cost + best->FragmentationCost <=
+                                  eviction->Cost + eviction->FragmentationCost))
       continue;
-    best = std::move(room);
+    best = std::move(eviction);
     bestChosen = chosen;
   }
   if (best)
@@ -227,35 +243,38 @@
   return best;
 }
 
-/// Worth a second that cannot be had while \p Engine is under order: of models
-/// that are short of replicas and could be loaded there, by the number of such
-/// engines.
+/// Worth per second that is lost while \p Engine is blocked by an order: that
+/// of the models that lack replicas and could be loaded there, divided by the
+/// number of engines where each could be loaded.
 double blockedWorth(const PlanEngine &Engine, const PlanView &View) {
   double sum = 0;
-  for (const std::string &it : modelsNear(Engine)) {
+  for (const std::string &it : modelsWithLocalWeights(Engine)) {
     auto found = View.States.find(it);
     if (found == View.States.end() || Engine.Models.contains(it))
       continue;
     const ModelState &state = found->second;
     bool isShort = state.Replicas < std::max<size_t>(state.Wanted, 1);
-    if (isShort && state.Near > 0)
-      sum += state.Demand.WorthPerSecond / static_cast<double>(state.Near);
+    if (isShort && state.NearbyEngines > 0)
+      sum += state.Demand.WorthPerSecond /
+             static_cast<double>(state.NearbyEngines);
   }
   return sum;
 }
 
-struct Choice {
+struct LoadOption {
   PlannedLoad Load;
-  double Cost = 0; ///< Against what the load brings.
-  double Rank = 0; ///< The lowest is taken.
+  double Cost = 0; ///< Compared with the gain of the load.
+  double Rank = 0; ///< The lowest is chosen.
 };
 
-/// The engine where \p Name costs least: time to load, and what makes room.
-std::optional<Choice> cheapest(const std::string &Name, const ModelState &Model,
-                               const PlanView &View,
-                               const std::set<size_t> &Taken,
-                               bool IsStoreAllowed) {
-  std::optional<Choice> best;
+/// Finds the engine where loading \p Name costs least, by load time and
+/// evictions.
+std::optional<LoadOption> cheapestLoad(const std::string &Name,
+                                       const ModelState &Model,
+                                       const PlanView &View,
+                                       const std::set<size_t> &Taken,
+                                       bool IsStoreAllowed) {
+  std::optional<LoadOption> best;
   const std::vector<PlanEngine> &engines = View.Input.Engines;
   for (size_t i = 0; i < engines.size(); ++i) {
     const PlanEngine &engine = engines[i];
@@ -268,35 +287,35 @@
       continue;
     double worth =
         std::max(Model.Demand.WorthPerSecond, Model.Demand.WaitingWorth);
-    auto room = makeRoom(engine, View, Model.Spec->WeightsMb, worth);
-    if (!room)
+    auto eviction = planEviction(engine, View, Model.Spec->WeightsMb, worth);
+    if (!eviction)
       continue;
     double load =
         std::chrono::duration<double>(loadTime(engine, *Model.Spec)).count();
-    double cost = std::min(MostLoadSeconds, load) * worth + room->Cost +
-                  BusyEngineCost * engine.LoadShare;
-    double rank = cost + room->Waste;
+    double cost = std::min(MaxChargedLoadSeconds, load) * worth +
+                  eviction->Cost + BusyEngineCost * engine.LoadShare;
+    double rank = cost + eviction->FragmentationCost;
     if (isFromStore)
       rank += load * blockedWorth(engine, View);
     if (best && best->Rank <= rank)
       continue;
-    best = Choice{
-        {i, Name, std::move(room->Evict), isFromStore, false}, cost, rank};
+    best = LoadOption{
+        {i, Name, std::move(eviction->Evict), isFromStore, false}, cost, rank};
   }
   return best;
 }
 
-struct Want {
+struct LoadCandidate {
   std::string Name;
-  double Gain = 0; ///< Over the time in which a load must pay.
+  double Gain = 0; ///< Within PaybackSeconds.
   bool IsUrgent = false;
 };
 
-/// Models that lack a replica, by what one more would bring. A busy model with
-/// too few replicas and a cold one that is waited for compete by that alone:
-/// many rare models asked for at once must not hold up the busy ones.
-std::vector<Want> listWants(const ModelStates &States) {
-  std::vector<Want> wants;
+/// Lists the models that lack a replica by the gain of one more. Busy models
+/// with too few replicas and cold models with waiting requests compete by gain
+/// alone: many rare models requested at once must not delay the busy ones.
+std::vector<LoadCandidate> listLoadCandidates(const ModelStates &States) {
+  std::vector<LoadCandidate> candidates;
   for (const auto &[name, state] : States) {
     bool isUrgent = state.Demand.Waiting > 0 && state.Replicas == 0;
     bool isShort = state.Replicas < state.Wanted;
@@ -305,38 +324,44 @@
       continue;
     double next =
         state.Demand.WorthPerSecond / static_cast<double>(state.Replicas + 1);
-    double gain = next * PayBackSeconds +
+    double gain = next * PaybackSeconds +
                   (isUrgent || isShort ? state.Demand.WaitingWorth : 0);
-    wants.push_back({name, gain, isUrgent || isShort});
+    candidates.push_back({name, gain, isUrgent || isShort});
   }
-  std::sort(wants.begin(), wants.end(),
-            [](const Want &A, const Want &B) { return A.Gain > B.Gain; });
-  return wants;
+  std::sort(candidates.begin(), candidates.end(),
+            [](const LoadCandidate &A, const LoadCandidate &B) {
+              return A.Gain > B.Gain;
+            });
+  return candidates;
 }
 
-/// True while the replicas of \p Model cannot take what is asked of them.
+/// Returns true while the requests for \p Model exceed OverloadUtilisation of
+/// the slots of all its replicas.
 bool isOverloaded(const ModelState &Model, const EngineSpec &Spec) {
   return Model.Replicas > 0 &&
-         Model.Demand.Busy > HeavyUse * static_cast<double>(Spec.Slots) *
+         Model.Demand.Busy > OverloadUtilisation *
+                                 static_cast<double>(Spec.Slots) *
                                  static_cast<double>(Model.Replicas);
 }
 
-/// Loads from the store that may be under way, one for \p Model among them.
-size_t storePlaces(const ModelState &Model, const PlanInput &Input,
-                   bool HasLost) {
-  if (Model.Near == 0)
-    return Input.StorePlaces;
+/// Limit on concurrent loads from the store, including one for \p Model.
+/// \p HasLost: requests wait for a model whose weights are on no available
+/// engine.
+size_t storeLoadLimit(const ModelState &Model, const PlanInput &Input,
+                      bool HasLost) {
+  if (Model.NearbyEngines == 0)
+    return Input.StoreLoadLimit;
   if (!isOverloaded(Model, Input.Spec))
-    return HasLost ? 0 : MostSpareStoreLoads;
-  return HasLost ? MostSpareStoreLoads : Input.StorePlaces;
+    return HasLost ? 0 : MaxExtraStoreLoads;
+  return HasLost ? MaxExtraStoreLoads : Input.StoreLoadLimit;
 }
 
 } // namespace
 
 size_t wantedReplicas(double Busy, uint32_t Slots) {
-  double capacity = TargetUse * std::max<uint32_t>(Slots, 1);
+  double capacity = TargetUtilisation * std::max<uint32_t>(Slots, 1);
   auto n = static_cast<size_t>(std::ceil(Busy / capacity));
-  return Busy >= SafeBusy ? std::max<size_t>(n, 2) : n;
+  return Busy >= RedundancyThreshold ? std::max<size_t>(n, 2) : n;
 }
 
 Millis loadTime(const PlanEngine &Engine, const ModelSpec &Model) {
@@ -348,41 +373,44 @@
 std::vector<PlannedLoad> planModels(const PlanInput &Input) {
   std::vector<PlannedLoad> out;
   PlanView view{Input, gather(Input), {}, 0};
-  fillMemoryTables(view);
+  buildMemoryTable(view);
   std::set<size_t> taken;
   size_t underWay = Input.LoadsUnderWay;
   size_t storeUnderWay = Input.StoreLoadsUnderWay;
   uint32_t storeLeft = Input.StoreLoadsAllowed;
-  std::vector<Want> wants = listWants(view.States);
-  bool hasLost = std::any_of(wants.begin(), wants.end(), [&](const Want &it) {
-    return it.IsUrgent && view.States[it.Name].Near == 0;
-  });
-  for (const Want &want : wants) {
-    if (!want.IsUrgent && underWay >= MostPlannedLoads)
+  std::vector<LoadCandidate> candidates = listLoadCandidates(view.States);
+  bool hasLost = std::any_of(
+      candidates.begin(), candidates.end(), [&](const LoadCandidate &it) {
+        return it.IsUrgent && view.States[it.Name].NearbyEngines == 0;
+      });
+  for (const LoadCandidate &candidate : candidates) {
+    if (!candidate.IsUrgent && underWay >= MaxProactiveLoads)
       continue;
-    ModelState &state = view.States[want.Name];
-    size_t places = storePlaces(state, Input, hasLost);
+    ModelState &state = view.States[candidate.Name];
+    size_t places = storeLoadLimit(state, Input, hasLost);
     bool mayUseStore = storeLeft > 0 && storeUnderWay < places;
-    auto choice = cheapest(want.Name, state, view, taken, mayUseStore);
-    if (!choice)
+    auto option = cheapestLoad(candidate.Name, state, view, taken, mayUseStore);
+    if (!option)
       continue;
-    double lost = choice->Cost + LoadCost;
-    // A cold request that waits is served unless better ones lose by it.
-    bool pays = want.IsUrgent ? want.Gain > 0.5 * lost : want.Gain > lost;
+    double lost = option->Cost + LoadCost;
+    // Urgent loads need only half the usual gain: a waiting cold request is
+    // served unless others would lose clearly more by it.
+    bool pays = candidate.IsUrgent ? candidate.Gain > 0.5 * lost
+                                   : candidate.Gain > lost;
     if (!pays)
       continue;
-    choice->Load.IsUrgent = want.IsUrgent;
-    if (choice->Load.IsFromStore) {
+    option->Load.IsUrgent = candidate.IsUrgent;
+    if (option->Load.IsFromStore) {
       --storeLeft;
       ++storeUnderWay;
     }
-    for (const std::string &it : choice->Load.Evict)
+    for (const std::string &it : option->Load.Evict)
       if (view.States[it].Replicas > 0)
         --view.States[it].Replicas;
     ++state.Replicas;
     ++underWay;
-    taken.insert(choice->Load.Engine);
-    out.push_back(std::move(choice->Load));
+    taken.insert(option->Load.Engine);
+    out.push_back(std::move(option->Load));
   }
   return out;
 }
--- a/policy/model_plan.h
+++ b/policy/model_plan.h
@@ -1,23 +1,23 @@
 /// \file
-/// Which model to load next on which engine, and what makes room for it.
+/// Plans which model to load next on which engine and which models to evict for
+/// it.
 ///
-/// Load patterns:
-/// - many rare models asked for at once: a cold request goes to the engine that
-///   has the weights nearest, at once, and a model that was just loaded stays
-///   until those who wait for it were served;
-/// - demand moving from the busy models to others: replicas follow the requests
-///   under way;
-/// - engines lost or added: their replicas are made up for elsewhere;
-/// - loads slowing one another: few at once, within what the store allows;
-/// - models whose weights were lost with an engine, while busy ones are short
-/// of
-///   replicas: most of the store's places are left to the former;
-/// - a busy model that lies on one engine only, which a load from the store
-/// keeps
-///   under order for ten seconds: those go where little else lies;
-/// - models of many sizes in engines that hold two or three of them: memory
-/// that
-///   no model fits any more is lost.
+/// Handles these load patterns:
+/// - Many rare models are requested at once. A cold model is loaded immediately
+///   on the engine with the fastest access to its weights, and a model that was
+///   just loaded is not evicted before the waiting requests were served.
+/// - Demand moves from busy models to others. The number of replicas follows
+///   the requests in progress.
+/// - Engines are lost or added. Lost replicas are loaded on other engines.
+/// - Concurrent loads slow each other down. Few run at once, within the limit
+///   of the weight store.
+/// - Weights were lost with an engine while busy models need more replicas.
+///   Most loads from the store are left to the models that are on no engine.
+/// - A busy model is on one engine only, which a load from the store blocks for
+///   ten seconds. Loads from the store go to engines that hold few other
+///   weights.
+/// - Engines hold two or three models of many sizes. Memory into which no model
+///   fits any more counts as lost.
 #ifndef SASSAFRAS_POLICY_MODEL_PLAN_H
 #define SASSAFRAS_POLICY_MODEL_PLAN_H
 
@@ -31,47 +31,50 @@
 
 namespace sassafras {
 
-/// Share of an engine's slots that one busy model should use; the rest takes
-/// up bursts without queueing.
-inline constexpr double TargetUse = 0.35;
-/// Loads from the store at once that have another way: for models whose weights
-/// lie at some engine.
-inline constexpr size_t MostSpareStoreLoads = 1;
-/// Share of the slots of all its replicas beyond which a model whose weights
-/// lie at some engine may use the store for one more: below it nobody waits,
-/// and the load keeps an engine for seconds from models that lie only there.
-inline constexpr double HeavyUse = 0.7;
-/// Loads for models that nobody waits for yet, so that engines stay free for
-/// those that somebody does.
-inline constexpr size_t MostPlannedLoads = 3;
-/// Over this time a replica must pay for the load that it takes.
-inline constexpr double PayBackSeconds = 8;
-/// What a load costs, in units of worth; from the operators' price list.
+/// Target share of an engine's slots for one busy model. The rest absorbs
+/// bursts without queueing.
+inline constexpr double TargetUtilisation = 0.35;
+/// Limit on concurrent loads from the store for models whose weights are also
+/// on some engine.
+inline constexpr size_t MaxExtraStoreLoads = 1;
+/// Share of the slots of all its replicas above which a model whose weights are
+/// on some engine may load a further replica from the store. Below it no
+/// request waits, and the load would block an engine for seconds for models
+/// whose weights are only there.
+inline constexpr double OverloadUtilisation = 0.7;
+/// Limit on loads in progress beyond which no load is started for a model that
+/// no request waits for, so that engines stay free for urgent loads.
+inline constexpr size_t MaxProactiveLoads = 3;
+/// Time in seconds within which a replica must be worth the cost of its load.
+inline constexpr double PaybackSeconds = 8;
+/// Cost of a load in units of worth, from the operators' price list.
 inline constexpr double LoadCost = 1.4;
 
-/// Demand for one model over all fronts.
+/// Demand for one model over all fronts. The worth of a request weighs it
+/// against others when resources are scarce.
 struct ModelDemand {
-  double WorthPerSecond = 0; ///< Larger of the short and the long average.
-  double Busy = 0;           ///< Requests under way or waiting.
-  uint32_t Waiting = 0;      ///< Nothing can take them now.
+  double WorthPerSecond = 0; ///< The larger of the short and the long average.
+  double Busy = 0;           ///< Requests in progress or waiting.
+  uint32_t Waiting = 0;      ///< Requests that no replica can take now.
   double WaitingWorth = 0;
 };
 
-/// One engine as the plan sees it.
+/// State of one engine as input of the plan.
 struct PlanEngine {
-  std::string Endpoint;    ///< Identity.
-  bool CanOrder = false;   ///< Its agent is there and nothing is under way.
-  bool IsLeaving = false;  ///< What it holds does not count.
-  double LoadShare = 0;    ///< Requests over slots.
-  uint64_t ReservedMb = 0; ///< Adapters and loads under way.
+  std::string Endpoint; ///< Identity of the endpoint.
+  /// Its agent is connected and no order is in progress.
+  bool CanOrder = false;
+  /// The engine is leaving: its models are not counted as replicas.
+  bool IsLeaving = false;
+  double LoadShare = 0;    ///< Requests divided by slots.
+  uint64_t ReservedMb = 0; ///< Memory for adapters and loads in progress.
   std::set<std::string> Models;
-  /// Loaded just now: whoever waits for them has not been sent there yet, so
-  /// they look idle. They give way to nothing.
+  /// Models that were just loaded. The requests that wait for them have not
+  /// been sent yet, so they look idle; they must not be evicted.
   std::set<std::string> JustLoaded;
   std::map<std::string, uint32_t> Running; ///< Requests by model.
-  std::string Loading;                     ///< Model on its way, or empty.
-  Millis TimeUntilFree{
-      0}; ///< Until it takes another order, as far as is known.
+  std::string Loading;     ///< Model that is being loaded, or empty.
+  Millis TimeUntilFree{0}; ///< Estimated time until it accepts another order.
   std::set<std::string> InMemory;
   std::set<std::string> OnDisk;
 };
@@ -82,23 +85,25 @@
   const std::vector<PlanEngine> &Engines;
   size_t LoadsUnderWay = 0;
   size_t StoreLoadsUnderWay = 0;
-  uint32_t StoreLoadsAllowed = 0;        ///< May start now.
-  size_t StorePlaces = FirstStorePlaces; ///< Loads from it at once.
+  uint32_t StoreLoadsAllowed = 0; ///< Loads from the store that may start now.
+  /// Limit on concurrent loads from the store.
+  size_t StoreLoadLimit = InitialStoreLoadLimit;
 };
 
 struct PlannedLoad {
-  size_t Engine = 0; ///< Position in the input.
+  size_t Engine = 0; ///< Index in PlanInput::Engines.
   std::string Model;
   std::vector<std::string> Evict;
   bool IsFromStore = false;
   bool IsUrgent = false; ///< Requests wait for it.
 };
 
-/// Decides on the present state. Pure and thread safe.
+/// Plans loads for the current state. Pure and thread safe.
 std::vector<PlannedLoad> planModels(const PlanInput &Input);
-/// Replicas that \p Busy requests under way ask for.
+/// Returns the number of replicas needed for \p Busy requests in progress or
+/// waiting.
 size_t wantedReplicas(double Busy, uint32_t Slots);
-/// Time until \p Model is loaded at \p Engine once it is ordered.
+/// Returns the time from the order until \p Model is loaded on \p Engine.
 Millis loadTime(const PlanEngine &Engine, const ModelSpec &Model);
 
 } // namespace sassafras
--- a/policy/store_pace.cpp
+++ b/policy/store_pace.cpp
@@ -5,27 +5,29 @@
 
 namespace sassafras {
 
-void recordStoreLoad(StoreConcurrency &Pace, size_t Together, Millis Alone,
-                     Millis Taken, TimePoint Now) {
-  if (Alone.count() <= 0 || Together == 0)
+void recordStoreLoad(StoreConcurrency &Concurrency, size_t ConcurrentLoads,
+                     Millis Alone, Millis Taken, TimePoint Now) {
+  if (Alone.count() <= 0 || ConcurrentLoads == 0)
     return;
   double ratio =
       static_cast<double>(Taken.count()) / static_cast<double>(Alone.count());
-  if (ratio > SlowedRatio) {
-    auto places =
-        static_cast<size_t>(std::lround(static_cast<double>(Together) / ratio));
-    Pace.MaxLoads = std::clamp(places, LeastStorePlaces, MostStorePlaces);
-    Pace.ProbeAfter = Now + ProbePause;
+  if (ratio > SlowLoadRatio) {
+    auto limit = static_cast<size_t>(
+        std::lround(static_cast<double>(ConcurrentLoads) / ratio));
+    Concurrency.MaxLoads =
+        std::clamp(limit, MinStoreLoadLimit, MaxStoreLoadLimit);
+    Concurrency.ProbeAfter = Now + ProbeInterval;
     return;
   }
-  if (Together >= Pace.MaxLoads && isPast(Pace.ProbeAfter, Now))
-    Pace.MaxLoads = std::min(Together + 1, MostStorePlaces);
+  if (ConcurrentLoads >= Concurrency.MaxLoads &&
+      isPast(Concurrency.ProbeAfter, Now))
+    Concurrency.MaxLoads = std::min(ConcurrentLoads + 1, MaxStoreLoadLimit);
 }
 
-Millis storeLoadTime(const StoreConcurrency &Pace, size_t Together,
-                     Millis Alone) {
-  double ratio = static_cast<double>(Together) /
-                 static_cast<double>(std::max<size_t>(Pace.MaxLoads, 1));
+Millis storeLoadTime(const StoreConcurrency &Concurrency,
+                     size_t ConcurrentLoads, Millis Alone) {
+  double ratio = static_cast<double>(ConcurrentLoads) /
+                 static_cast<double>(std::max<size_t>(Concurrency.MaxLoads, 1));
   return Millis(static_cast<int64_t>(static_cast<double>(Alone.count()) *
                                      std::max(1.0, ratio)));
 }
--- a/policy/store_pace.h
+++ b/policy/store_pace.h
@@ -1,11 +1,11 @@
 /// \file
-/// How many loads the weight store serves at once at full speed, found out from
-/// how long loads take.
+/// Estimates from load times how many concurrent loads the weight store serves
+/// at full speed.
 ///
-/// Load pattern: engines were lost and many models lie on none. A load that
-/// begins beside more than the store serves takes longer in proportion, and
-/// keeps its engine from other orders all that time; what is not begun waits
-/// without holding anything.
+/// Load pattern: engines were lost and many models are on none. A load started
+/// beyond the store's capacity takes proportionally longer and blocks its
+/// engine for other orders until it ends. A load that has not started blocks no
+/// engine.
 #ifndef SASSAFRAS_POLICY_STORE_PACE_H
 #define SASSAFRAS_POLICY_STORE_PACE_H
 
@@ -15,30 +15,31 @@
 
 namespace sassafras {
 
-/// MaxLoads until anything is known, and the bounds within which they are
-/// sought.
-inline constexpr size_t FirstStorePlaces = 3;
-inline constexpr size_t LeastStorePlaces = 2;
-inline constexpr size_t MostStorePlaces = 8;
-/// A load that took this much longer than alone was slowed by others; less is
-/// the lag of reports.
-inline constexpr double SlowedRatio = 1.15;
-/// After a slowed load one more place is tried again no sooner than this:
-/// loads that an earlier leader ordered may have slowed it.
-inline constexpr Millis ProbePause{30'000};
+/// Limit before any load was measured, and the bounds of the limit.
+inline constexpr size_t InitialStoreLoadLimit = 3;
+inline constexpr size_t MinStoreLoadLimit = 2;
+inline constexpr size_t MaxStoreLoadLimit = 8;
+/// A load whose time exceeds its unloaded time by more than this ratio was
+/// slowed by other loads. Smaller excesses are due to report lag.
+inline constexpr double SlowLoadRatio = 1.15;
+/// Minimum time after a slowed load before the limit is raised again. Loads
+/// ordered by a previous leader may have slowed it.
+inline constexpr Millis ProbeInterval{30'000};
 
 struct StoreConcurrency {
-  size_t MaxLoads = FirstStorePlaces;
+  size_t MaxLoads = InitialStoreLoadLimit;
   TimePoint ProbeAfter;
 };
 
-/// A load is over that took \p Taken, would have taken \p Alone by itself, and
-/// was one of \p Together when it began. Not thread safe.
-void recordStoreLoad(StoreConcurrency &Pace, size_t Together, Millis Alone,
-                     Millis Taken, TimePoint Now);
-/// Time that a load takes which begins as one of \p Together. Thread safe.
-Millis storeLoadTime(const StoreConcurrency &Pace, size_t Together,
-                     Millis Alone);
+/// Adjusts the limit after a load that took \p Taken, would have taken \p Alone
+/// without other loads, and was one of \p ConcurrentLoads when it started. Not
+/// thread safe.
+void recordStoreLoad(StoreConcurrency &Concurrency, size_t ConcurrentLoads,
+                     Millis Alone, Millis Taken, TimePoint Now);
+/// Estimates the time of a load that starts as one of \p ConcurrentLoads and
+/// takes \p Alone without other loads. Thread safe.
+Millis storeLoadTime(const StoreConcurrency &Concurrency,
+                     size_t ConcurrentLoads, Millis Alone);
 
 } // namespace sassafras
 
