--- a/policy/leaderless_load.h
+++ b/policy/leaderless_load.h
@@ -1,11 +1,12 @@
 /// \file
-/// Which engine a front asks to load a model while nobody leads.
+/// Selects the engine that a front asks to load a model while there is no
+/// leader.
 ///
-/// Load pattern: everything loses power at once. Engines come back empty, and
-/// callers are back a second before there is a leader that plans loads. Fronts
-/// that know the same ask the same engine for the same model, so that it is
-/// hardly ever loaded twice, and only engines with free memory, so that nothing
-/// gives way that others use.
+/// Load pattern: all hosts lose power at once. Engines restart empty, and
+/// callers return a second before a leader is elected that plans loads. Fronts
+/// with the same view select the same engine for a model, so that it is rarely
+/// loaded twice. They select only engines with enough free memory, so that no
+/// model in use is evicted.
 #ifndef SASSAFRAS_POLICY_LEADERLESS_LOAD_H
 #define SASSAFRAS_POLICY_LEADERLESS_LOAD_H
 
@@ -16,15 +17,18 @@
 
 namespace sassafras {
 
-/// One engine that has the model's weights near and may be given an order.
+/// An engine that has the model's weights in host memory or on disk and accepts
+/// an order.
 struct FreeEngine {
   std::string Address;
   uint64_t FreeMb = 0;
-  bool IsInMemory = false; ///< Not only on disk.
+  /// The weights are in host memory, not only on disk.
+  bool IsInMemory = false;
 };
 
-/// Position of the engine to ask for \p Model, or nothing when it fits into
-/// none. Pure and thread safe.
+/// Returns the index of the engine to ask for \p Model, or nothing when it fits
+/// into none. Prefers weights in memory, then uses rendezvous hashing. Pure and
+/// thread safe.
 std::optional<size_t> chooseFreeEngine(const std::string &Model,
                                        uint64_t NeededMb,
                                        const std::vector<FreeEngine> &Engines);
--- a/policy/retry_budget.cpp
+++ b/policy/retry_budget.cpp
@@ -6,30 +6,31 @@
 
 namespace {
 
-double mostTokens(const RetryLimits &Limits, size_t FrontCount) {
-  return BudgetMargin * Limits.Slack /
+double maxTokens(const RetryLimits &Limits, size_t FrontCount) {
+  return BudgetFraction * Limits.Slack /
          static_cast<double>(std::max<size_t>(FrontCount, 1));
 }
 
-void open(RetryBudget &Budget, const RetryLimits &Limits, size_t FrontCount) {
-  if (Budget.IsOpened)
+void initialise(RetryBudget &Budget, const RetryLimits &Limits,
+                size_t FrontCount) {
+  if (Budget.IsInitialised)
     return;
-  Budget.IsOpened = true;
-  Budget.Tokens = mostTokens(Limits, FrontCount);
+  Budget.IsInitialised = true;
+  Budget.Tokens = maxTokens(Limits, FrontCount);
 }
 
 } // namespace
 
 void recordRequest(RetryBudget &Budget, const RetryLimits &Limits,
                    size_t FrontCount) {
-  open(Budget, Limits, FrontCount);
-  Budget.Tokens = std::min(Budget.Tokens + BudgetMargin * Limits.Ratio,
-                           mostTokens(Limits, FrontCount));
+  initialise(Budget, Limits, FrontCount);
+  Budget.Tokens = std::min(Budget.Tokens + BudgetFraction * Limits.Ratio,
+                           maxTokens(Limits, FrontCount));
 }
 
 bool takeRetry(RetryBudget &Budget, const RetryLimits &Limits,
                size_t FrontCount) {
-  open(Budget, Limits, FrontCount);
+  initialise(Budget, Limits, FrontCount);
   if (Budget.Tokens < 1)
     return false;
   Budget.Tokens -= 1;
--- a/policy/retry_budget.h
+++ b/policy/retry_budget.h
@@ -1,9 +1,10 @@
 /// \file
-/// How many requests a front may send to a second endpoint.
+/// Limits how many requests a front may retry on another endpoint.
 ///
-/// Load pattern: many endpoints fail at once and every request would be sent
-/// again. All fronts together stay within a share of the requests plus a
-/// fixed slack in any window; each keeps to its part without asking.
+/// Load pattern: many endpoints fail at once and every request would be
+/// retried. All fronts together stay within a ratio of the requests plus a
+/// fixed slack in any window. Each front enforces its own part without
+/// coordination.
 #ifndef SASSAFRAS_POLICY_RETRY_BUDGET_H
 #define SASSAFRAS_POLICY_RETRY_BUDGET_H
 
@@ -11,24 +12,24 @@
 
 namespace sassafras {
 
-/// Part of the allowed ratio and slack that is used; the rest covers nodes
-/// that are out of view.
-inline constexpr double BudgetMargin = 0.7;
+/// Fraction of the allowed ratio and slack that is used. The rest covers fronts
+/// that are not in view.
+inline constexpr double BudgetFraction = 0.7;
 
 struct RetryLimits {
-  double Ratio = 0.2; ///< Retries for each request.
-  double Slack = 60;  ///< Retries beyond that in one window, all fronts.
+  double Ratio = 0.2; ///< Retries per request.
+  double Slack = 60;  ///< Additional retries in one window over all fronts.
 };
 
 struct RetryBudget {
   double Tokens = 0;
-  bool IsOpened = false;
+  bool IsInitialised = false;
 };
 
-/// A request for the service has arrived.
+/// Records the arrival of a request for the service.
 void recordRequest(RetryBudget &Budget, const RetryLimits &Limits,
                    size_t FrontCount);
-/// Takes one retry; false when none is left.
+/// Takes one retry from the budget. Returns false when none is left.
 bool takeRetry(RetryBudget &Budget, const RetryLimits &Limits,
                size_t FrontCount);
 
--- a/policy/row_demand.h
+++ b/policy/row_demand.h
@@ -1,9 +1,9 @@
 /// \file
-/// Demand for one model as a front or the leader sees it.
+/// Arrival rates of one model as seen by a front or the leader.
 ///
-/// Load pattern: the busy models fall silent in turn and others rise within
-/// seconds, while most models are asked for a few times a minute. A short
-/// average follows the former, a long one tells the latter apart.
+/// Load pattern: demand moves from some busy models to others within seconds,
+/// while most models are requested a few times a minute. A short average
+/// follows the shifts, a long average distinguishes the rare models.
 #ifndef SASSAFRAS_POLICY_ROW_DEMAND_H
 #define SASSAFRAS_POLICY_ROW_DEMAND_H
 
@@ -11,13 +11,13 @@
 
 namespace sassafras {
 
-/// Time constants of the averages. The short one is below the span of a
-/// shift of demand (5 s and more), the long one covers a few requests of a
-/// rare model.
+/// Time constants of the averages. The short one is below the duration of a
+/// demand shift (5 s or more), the long one covers a few requests of a rare
+/// model.
 inline constexpr Millis ShortWindow{2'000};
 inline constexpr Millis LongWindow{20'000};
 
-/// Exponentially decaying count.
+/// Exponentially decaying rate.
 struct DecayingRate {
   double PerSecond = 0;
   TimePoint At;
