--- a/policy/endpoint_choice.cpp
+++ b/policy/endpoint_choice.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// Failures in a row after which an endpoint is paused.
+/// Consecutive failures after which an endpoint is paused.
 constexpr uint32_t PauseAfter = 2;
-/// Slots' worth of load that a failure share of one counts as.
-constexpr double FailureWeight = 3.0;
-constexpr double SlowPenalty = 0.5;
-constexpr double AffinityLead = 0.05;
+/// Penalty for a failure rate of 1, as a multiple of the endpoint's slots.
+constexpr double FailurePenalty = 3.0;
+constexpr double WarmUpPenalty = 0.5;
+constexpr double AffinityBonus = 0.05;
 
 double secondsOf(Clock::duration Span) {
   return std::chrono::duration<double>(Span).count();
@@ -20,46 +20,49 @@
 } // namespace
 
 double estimateLoad(const EndpointRecord &Record, TimePoint Now) {
-  double part = 0;
+  double weight = 0;
   if (!isPast(Record.ReportFullUntil, Now))
-    part = 1;
-  else if (!isPast(Record.ReportEnds, Now))
-    part = secondsOf(Record.ReportEnds - Now) /
-           secondsOf(Record.ReportEnds - Record.ReportFullUntil);
-  return std::max<double>(Record.Open,
-                          part * Record.ReportedLoad + Record.SentSinceReport);
+    weight = 1;
+  else if (!isPast(Record.ReportExpiresAt, Now))
+    weight = secondsOf(Record.ReportExpiresAt - Now) /
+             secondsOf(Record.ReportExpiresAt - Record.ReportFullUntil);
+  return std::max<double>(Record.Open, weight * Record.ReportedLoad +
+                                           Record.SentSinceReport);
 }
 
 namespace {
 
-/// An endpoint that may be sent to, and what speaks against it in requests:
-/// those that it holds, and as many as its other drawbacks are worth.
-struct Level {
+/// An available endpoint and its score in requests: its estimated load plus its
+/// penalties converted to requests. Lower is better.
+struct ScoredEndpoint {
   size_t Candidate = 0;
-  double Height = 0;
+  double Score = 0;
 };
 
-/// Those that may be sent to, lowest first.
-std::vector<Level> listLevels(const std::vector<EndpointCandidate> &Candidates,
-                              const std::string &OwnZone, TimePoint Now,
-                              double &Held) {
-  std::vector<Level> out;
+/// Lists the available endpoints by ascending score. Adds their estimated load
+/// to \p TotalLoad.
+std::vector<ScoredEndpoint>
+rankEndpoints(const std::vector<EndpointCandidate> &Candidates,
+              const std::string &OwnZone, TimePoint Now, double &TotalLoad) {
+  std::vector<ScoredEndpoint> out;
   for (size_t i = 0; i < Candidates.size(); ++i) {
     const EndpointCandidate &it = Candidates[i];
     const EndpointRecord &record = *it.Record;
     double slots = it.Slots;
     double load = estimateLoad(record, Now);
-    if (!isPast(record.PausedUntil, Now) || load >= slots * (1 + QueueShare))
+    if (!isPast(record.PausedUntil, Now) || load >= slots * (1 + MaxQueueShare))
       continue;
-    double drawbacks = FailureWeight * record.FailureRate +
-                       (it.Zone == OwnZone ? 0 : ZoneLead) +
-                       (it.IsWarmingUp ? SlowPenalty : 0) -
-                       AffinityLead * it.Affinity;
-    out.push_back({i, load + slots * drawbacks});
-    Held += load;
+    double penalty = FailurePenalty * record.FailureRate +
+                     (it.Zone == OwnZone ? 0 : CrossZonePenalty) +
+                     (it.IsWarmingUp ? WarmUpPenalty : 0) -
+                     AffinityBonus * it.Affinity;
+    out.push_back({i, load + slots * penalty});
+    TotalLoad += load;
   }
   std::sort(out.begin(), out.end(),
-            [](const Level &A, const Level &B) { return A.Height < B.Height; });
+            [](const ScoredEndpoint &A, const ScoredEndpoint &B) {
+              return A.Score < B.Score;
+            });
   return out;
 }
 
@@ -67,29 +70,31 @@
 
 std::optional<size_t>
 chooseEndpoint(const std::vector<EndpointCandidate> &Candidates,
-               const std::string &OwnZone, double Point, TimePoint Now) {
-  double held = 0;
-  std::vector<Level> levels = listLevels(Candidates, OwnZone, Now, held);
-  if (levels.empty())
+               const std::string &OwnZone, double Draw, TimePoint Now) {
+  double totalLoad = 0;
+  std::vector<ScoredEndpoint> ranked =
+      rankEndpoints(Candidates, OwnZone, Now, totalLoad);
+  if (ranked.empty())
     return std::nullopt;
-  double coming = std::max(1.0, held * ComingShare);
-  // The lowest are filled up with what comes until they are all level.
+  double expected = std::max(1.0, totalLoad * ExpectedArrivalShare);
+  // Water-filling: distributes the expected requests over the endpoints with
+  // the lowest scores until their scores are equal.
   double sum = 0;
-  double surface = 0;
+  double waterLevel = 0;
   size_t filled = 0;
-  while (filled < levels.size()) {
-    sum += levels[filled++].Height;
-    surface = (sum + coming) / static_cast<double>(filled);
-    if (filled < levels.size() && surface <= levels[filled].Height)
+  while (filled < ranked.size()) {
+    sum += ranked[filled++].Score;
+    waterLevel = (sum + expected) / static_cast<double>(filled);
+    if (filled < ranked.size() && waterLevel <= ranked[filled].Score)
       break;
   }
-  double left = Point * coming;
+  double remaining = Draw * expected;
   for (size_t i = 0; i < filled; ++i) {
-    left -= surface - levels[i].Height;
-    if (left < 0)
-      return levels[i].Candidate;
+    remaining -= waterLevel - ranked[i].Score;
+    if (remaining < 0)
+      return ranked[i].Candidate;
   }
-  return levels.front().Candidate;
+  return ranked.front().Candidate;
 }
 
 void recordSend(EndpointRecord &Record) {
@@ -103,7 +108,7 @@
   Record.SentSinceReport = 0;
   Record.ReportedAt = Now;
   Record.ReportFullUntil = Now + Life.Full;
-  Record.ReportEnds = Now + Life.Most;
+  Record.ReportExpiresAt = Now + Life.Max;
 }
 
 void recordSuccess(EndpointRecord &Record) {
@@ -118,7 +123,8 @@
     return;
   uint32_t doublings = std::min<uint32_t>(Record.ConsecutiveFailures - 1, 4);
   Record.PausedUntil =
-      Now + std::min<Millis>(LeastPause * (1 << doublings), MostPause);
+      Now +
+      std::min<Millis>(MinEndpointPause * (1 << doublings), MaxEndpointPause);
 }
 
 void recordClose(EndpointRecord &Record) {
--- a/policy/endpoint_choice.h
+++ b/policy/endpoint_choice.h
@@ -1,13 +1,16 @@
 /// \file
-/// Which endpoint a request goes to.
+/// Selects the endpoint for a request.
 ///
-/// Load patterns: a busy model on several engines while reports lag by a
-/// second and many fronts read the same ones (own sends count first, and each
-/// front spreads its requests as if all of them together filled the engines
-/// evenly, so that they do not all turn to the one that was least loaded);
-/// endpoints that fail or stall while their health looks good (judged by
-/// outcomes); costly links between availability zones (a near endpoint first
-/// while it has room).
+/// Handles these load patterns:
+/// - A busy model runs on several engines, load reports lag by a second, and
+///   many fronts read the same reports. A front counts its own sends
+///   immediately and spreads requests as if all fronts together filled the
+///   engines evenly. Otherwise all fronts would pick the engine that was least
+///   loaded in the last report.
+/// - Endpoints fail or stall while their health checks pass. Endpoints are
+///   judged by request outcomes.
+/// - Links between availability zones are costly. An endpoint in the same zone
+///   is preferred while it has capacity.
 #ifndef SASSAFRAS_POLICY_ENDPOINT_CHOICE_H
 #define SASSAFRAS_POLICY_ENDPOINT_CHOICE_H
 
@@ -21,46 +24,45 @@
 
 namespace sassafras {
 
-/// An endpoint that failed takes no work for this long; doubles with each
-/// further failure in a row up to the most. From the restart time of engines
-/// (some seconds).
-inline constexpr Millis LeastPause{300};
-inline constexpr Millis MostPause{4'000};
-/// Weight of the newest outcome in an endpoint's failure share.
+/// Pause after a failure. Doubles with each further consecutive failure up to
+/// MaxEndpointPause. Based on the restart time of engines (a few seconds).
+inline constexpr Millis MinEndpointPause{300};
+inline constexpr Millis MaxEndpointPause{4'000};
+/// Smoothing factor of the failure rate: weight of the newest outcome.
 inline constexpr double OutcomeWeight = 0.15;
-/// Share of slots that a near endpoint may have in use more than a far one
-/// before the far one is taken: a crossing costs about as much as a fifth of
-/// a slot's wait.
-inline constexpr double ZoneLead = 0.2;
-/// Requests that come to the candidates from all fronts until newer reports
-/// are there, as a part of those that they hold: a report is up to 1.2 s old,
-/// and a request is held for about 1.7 s.
-inline constexpr double ComingShare = 0.7;
-/// Requests beyond its slots that an endpoint may hold, as a share of slots.
-/// More wait at the front, where they can still go elsewhere.
-inline constexpr double QueueShare = 0.25;
+/// Penalty for an endpoint in another zone, as a share of its slots. Crossing
+/// zones costs about as much as waiting for a fifth of a slot.
+inline constexpr double CrossZonePenalty = 0.2;
+/// Requests expected to reach the candidates from all fronts before newer load
+/// reports arrive, as a share of the requests they hold: a report is up to 1.2
+/// s old and a request runs for about 1.7 s.
+inline constexpr double ExpectedArrivalShare = 0.7;
+/// Requests that an endpoint may hold beyond its slots, as a share of the
+/// slots. Further requests wait at the front, where they can still go to
+/// another endpoint.
+inline constexpr double MaxQueueShare = 0.25;
 
-/// A report of an endpoint's load counts in full for the first of these times,
-/// then less and less until the second: what it told of has ended by then, and
-/// without a send no newer report may come. Of engines, whose requests run for
-/// a second or two; of plain services, whose requests take some milliseconds.
+/// How long a load report is used. It has full weight for Full, then decays
+/// linearly to none at Max: the reported requests have ended by then, and no
+/// newer report may arrive unless a request is sent. Requests to engines run
+/// for one or two seconds, requests to plain services for some milliseconds.
 struct ReportLifetime {
   Millis Full;
-  Millis Most;
+  Millis Max;
 };
 inline constexpr ReportLifetime EngineReportLifetime{Millis(800),
                                                      Millis(3'000)};
 inline constexpr ReportLifetime PlainReportLifetime{Millis(50), Millis(250)};
 
-/// What this front experienced with one endpoint.
+/// Load and outcomes of one endpoint as seen by this front.
 struct EndpointRecord {
-  uint32_t Open = 0; ///< Own requests under way there.
+  uint32_t Open = 0; ///< Requests of this front in progress there.
   uint32_t SentSinceReport = 0;
-  uint32_t ReportedLoad = 0; ///< Running and waiting, from all fronts.
+  uint32_t ReportedLoad = 0; ///< Running and waiting requests of all fronts.
   TimePoint ReportedAt;
-  TimePoint ReportFullUntil; ///< The report counts in full before this,
-  TimePoint ReportEnds;      ///< and for nothing after this.
-  double FailureRate = 0;    ///< Smoothed.
+  TimePoint ReportFullUntil; ///< The report has full weight before this time
+  TimePoint ReportExpiresAt; ///< and none after this time.
+  double FailureRate = 0;    ///< Exponentially smoothed.
   uint32_t ConsecutiveFailures = 0;
   TimePoint PausedUntil;
 };
@@ -69,27 +71,29 @@
   std::string Id;
   std::string Zone;
   uint32_t Slots = 1;
-  bool IsWarmingUp = false; ///< Just started.
-  double Affinity = 0;      ///< 0 to 1; breaks ties between equal loads.
+  bool IsWarmingUp = false; ///< Has just started.
+  double Affinity = 0; ///< 0 to 1; breaks ties between endpoints of equal load.
   const EndpointRecord *Record = nullptr;
 };
 
-/// Requests that the endpoint holds by the best knowledge of this front.
+/// Estimates the number of requests that the endpoint holds from its last
+/// report and this front's own requests.
 double estimateLoad(const EndpointRecord &Record, TimePoint Now);
-/// The endpoint to send to, or nothing when all are full or paused. \p Point
-/// is drawn evenly from 0 up to 1; at 0 it is the least loaded. Pure and thread
-/// safe.
+/// Returns the index of the endpoint to send to, or nothing when all are full
+/// or paused. \p Draw is a uniform random number in [0, 1); 0 selects the least
+/// loaded endpoint. Pure and thread safe.
 std::optional<size_t>
 chooseEndpoint(const std::vector<EndpointCandidate> &Candidates,
-               const std::string &OwnZone, double Point, TimePoint Now);
+               const std::string &OwnZone, double Draw, TimePoint Now);
 
 void recordSend(EndpointRecord &Record);
-/// Load figures that an endpoint or its agent gave.
+/// Records the load that an endpoint or its agent reported.
 void recordLoadReport(EndpointRecord &Record, uint32_t Load,
                       ReportLifetime Life, TimePoint Now);
 void recordSuccess(EndpointRecord &Record);
-/// \p IsCertain: nothing can be expected of it for now, as when it refuses
-/// connections; else it is paused only after repeated failures.
+/// Records a failed request. \p IsCertain: the endpoint is known to be
+/// unavailable, for example because it refuses connections, and is paused at
+/// once. Otherwise it is paused only after repeated failures.
 void recordFailure(EndpointRecord &Record, bool IsCertain, TimePoint Now);
 void recordClose(EndpointRecord &Record);
 
--- a/policy/quota_pool.cpp
+++ b/policy/quota_pool.cpp
@@ -14,26 +14,27 @@
 } // namespace
 
 PoolGrant drawFromPool(QuotaPool &Pool, const QuotaLimit &Limit,
-                       const PoolWish &Wish, bool IsBeyond, TimePoint LedSince,
-                       TimePoint Now) {
+                       const PoolRequest &Request, bool IsOverRate,
+                       TimePoint LeaderSince, TimePoint Now) {
   if (Pool.FilledAt == TimePoint())
-    Pool.Level = burstOf(Limit) * PoolStartPart;
-  double rate = Limit.RatePerSecond * (1 - DividedPart);
-  double most = burstOf(Limit) * PoolSavedPart;
-  TimePoint since = std::max(Pool.FilledAt, LedSince);
-  Pool.Level = std::min(most, Pool.Level + secondsOf(Now - since) * rate);
+    Pool.Level = burstOf(Limit) * PoolInitialFraction;
+  double rate = Limit.RatePerSecond * (1 - PredistributedFraction);
+  double maxLevel = burstOf(Limit) * PoolBurstFraction;
+  TimePoint since = std::max(Pool.FilledAt, LeaderSince);
+  Pool.Level = std::min(maxLevel, Pool.Level + secondsOf(Now - since) * rate);
   Pool.FilledAt = Now;
-  double kept = IsBeyond && !Wish.IsFavoured ? ReservedPart * most : 0;
-  double free = Pool.Level - kept;
-  // What is larger than the pool ever holds runs on credit.
-  double needed = std::min(Wish.Least, most / 2);
-  if (free < needed) {
-    double missing = needed - free;
+  double reserved =
+      IsOverRate && !Request.IsFavoured ? ReservedFraction * maxLevel : 0;
+  double available = Pool.Level - reserved;
+  // Requests larger than the pool can ever hold are granted on credit.
+  double needed = std::min(Request.Minimum, maxLevel / 2);
+  if (available < needed) {
+    double missing = needed - available;
     return {0, Millis(static_cast<int64_t>(
                    std::ceil(missing / std::max(rate, 1.0) * 1000.0)))};
   }
   PoolGrant out;
-  out.Granted = std::max(Wish.Least, std::min(Wish.Wanted, free));
+  out.Granted = std::max(Request.Minimum, std::min(Request.Wanted, available));
   Pool.Level -= out.Granted;
   return out;
 }
--- a/policy/rate_share.cpp
+++ b/policy/rate_share.cpp
@@ -7,18 +7,20 @@
 
 namespace {
 
-/// What was granted for a request is enough for it, but for rounding. Tokens.
-constexpr double Rounding = 0.5;
-constexpr Millis DemandSpan{500};
+/// Tolerance in tokens for rounding when the level is compared with the cost of
+/// a request.
+constexpr double RoundingTolerance = 0.5;
+constexpr Millis DemandInterval{500};
 constexpr double DemandWeight = 0.25;
-/// Weight of the newest request in the means of cost and worth.
+/// Smoothing factor of the means of cost and worth.
 constexpr double MeanWeight = 0.02;
-/// A request is small or worthy against the organisation's own mean.
-constexpr double SmallPart = 0.4;
-constexpr double WorthyFactor = 1.5;
-/// Tokens are kept back only while more is asked for than the share allows,
-/// by more than the averages' own swing.
-constexpr double BeyondFactor = 1.3;
+/// Thresholds relative to the organisation's own means for small requests and
+/// for those of high worth.
+constexpr double SmallCostFactor = 0.4;
+constexpr double HighWorthFactor = 1.5;
+/// Tokens are reserved only while the demand exceeds the share by this factor,
+/// which is above the fluctuation of the averages.
+constexpr double OverRateFactor = 1.3;
 
 double secondsOf(Clock::duration Span) {
   return std::chrono::duration<double>(Span).count();
@@ -29,45 +31,50 @@
   if (isPast(Quota.ShareEnd, Now))
     return Quota.ShareEnd == TimePoint()
                ? equal
-               : std::min(Quota.Share, equal * FallbackShare);
+               : std::min(Quota.Share, equal * ExpiredShareFraction);
   return Quota.Share;
 }
 
-/// Tokens a second that come in here by themselves.
+/// Returns the tokens per second that refill the quota at this front.
 double rateAt(const QuotaLimit &Limit, double Share) {
-  return Limit.RatePerSecond * Share * (Limit.HasPool ? DividedPart : 1);
+  return Limit.RatePerSecond * Share *
+         (Limit.HasPool ? PredistributedFraction : 1);
 }
 
-/// A front with a small share may still be asked for several at once.
-double mostSaved(const QuotaLimit &Limit, double Share, size_t FrontCount) {
+/// Returns the maximum level. It is at least that of an equal share: a front
+/// with a small share may still receive several requests at once.
+double maxLevel(const QuotaLimit &Limit, double Share, size_t FrontCount) {
   double equal = 1.0 / static_cast<double>(std::max<size_t>(FrontCount, 1));
-  double part = Limit.HasPool ? PooledSavedPart : SavedPart;
+  double part = Limit.HasPool ? PooledBurstFraction : BurstFraction;
   return burstOf(Limit) * part * std::max(Share, equal);
 }
 
-/// Level above which \p Claim is granted.
+/// Returns the level above which \p Charge is granted.
 double levelNeeded(const LocalQuota &Quota, const QuotaLimit &Limit,
-                   const QuotaCharge &Claim, size_t FrontCount, TimePoint Now) {
+                   const QuotaCharge &Charge, size_t FrontCount,
+                   TimePoint Now) {
   double share = shareAt(Quota, FrontCount, Now);
-  bool isBeyond = Quota.DemandRate > Limit.RatePerSecond * share * BeyondFactor;
-  // The pool keeps a part for favoured requests itself.
-  if (isFavoured(Quota, Claim) || !isBeyond || Limit.HasPool)
+  bool isOverRate =
+      Quota.DemandRate > Limit.RatePerSecond * share * OverRateFactor;
+  // With a pool, the leader reserves the part for favoured requests.
+  if (isFavoured(Quota, Charge) || !isOverRate || Limit.HasPool)
     return 0;
-  return ReservedPart * mostSaved(Limit, share, FrontCount);
+  return ReservedFraction * maxLevel(Limit, share, FrontCount);
 }
 
 void refill(LocalQuota &Quota, const QuotaLimit &Limit, size_t FrontCount,
             TimePoint Now) {
   double share = shareAt(Quota, FrontCount, Now);
-  double most = mostSaved(Limit, share, FrontCount);
-  double inflow = secondsOf(Now - Quota.FilledAt) * rateAt(Limit, share);
-  // What the leader granted beyond that stays, but for a lower limit.
+  double maximum = maxLevel(Limit, share, FrontCount);
+  double refilled = secondsOf(Now - Quota.FilledAt) * rateAt(Limit, share);
+  // Tokens granted by the leader beyond the maximum level are kept, unless the
+  // rate limit was lowered.
   if (Quota.FilledAt == TimePoint())
-    Quota.Level += most;
-  else if (Quota.Level < most)
-    Quota.Level = std::min(most, Quota.Level + inflow);
+    Quota.Level += maximum;
+  else if (Quota.Level < maximum)
+    Quota.Level = std::min(maximum, Quota.Level + refilled);
   else if (Limit.RatePerSecond < Quota.FilledRate)
-    Quota.Level = most;
+    Quota.Level = maximum;
   Quota.FilledRate = Limit.RatePerSecond;
   Quota.FilledAt = Now;
 }
@@ -81,9 +88,10 @@
          tolerance.Slack;
 }
 
-bool isFavoured(const LocalQuota &Quota, const QuotaCharge &Claim) {
-  return Claim.Cost <= Quota.MeanCost * SmallPart ||
-         Claim.Worth >= Claim.Cost * Quota.MeanDensity * WorthyFactor;
+bool isFavoured(const LocalQuota &Quota, const QuotaCharge &Charge) {
+  return Charge.Cost <= Quota.MeanCost * SmallCostFactor ||
+         Charge.Worth >=
+             Charge.Cost * Quota.MeanWorthPerToken * HighWorthFactor;
 }
 
 std::map<std::string, double>
@@ -98,10 +106,10 @@
   for (const std::string &it : Fronts)
     sum += demandOf(it);
   double equal = 1.0 / static_cast<double>(std::max<size_t>(Fronts.size(), 1));
-  double asked = std::min(DemandPart, Rate > 0 ? sum / Rate : 0);
+  double demanded = std::min(DemandFraction, Rate > 0 ? sum / Rate : 0);
   for (const std::string &it : Fronts) {
     double part = sum > 0 ? demandOf(it) / sum : 0;
-    out[it] = asked * part + (1 - asked) * equal;
+    out[it] = demanded * part + (1 - demanded) * equal;
   }
   return out;
 }
@@ -112,44 +120,45 @@
 }
 
 bool takeQuota(LocalQuota &Quota, const QuotaLimit &Limit,
-               const QuotaCharge &Claim, size_t FrontCount, TimePoint Now) {
+               const QuotaCharge &Charge, size_t FrontCount, TimePoint Now) {
   if (Limit.RatePerSecond <= 0)
     return true;
   refill(Quota, Limit, FrontCount, Now);
-  double needed = levelNeeded(Quota, Limit, Claim, FrontCount, Now);
-  // With nobody to ask, a request larger than what is saved up runs on credit:
-  // the level goes below zero and later ones wait for it.
-  bool isEnough = Limit.HasPool ? Quota.Level + Rounding >= needed + Claim.Cost
-                                : Quota.Level > needed;
+  double needed = levelNeeded(Quota, Limit, Charge, FrontCount, Now);
+  // Without a leader to ask, a request larger than the level runs on credit:
+  // the level becomes negative and later requests wait until it has recovered.
+  bool isEnough = Limit.HasPool
+                      ? Quota.Level + RoundingTolerance >= needed + Charge.Cost
+                      : Quota.Level > needed;
   if (!isEnough)
     return false;
-  Quota.Level -= Claim.Cost;
+  Quota.Level -= Charge.Cost;
   return true;
 }
 
 void returnQuota(LocalQuota &Quota, double Cost) { Quota.Level += Cost; }
 
 Millis waitForQuota(const LocalQuota &Quota, const QuotaLimit &Limit,
-                    const QuotaCharge &Claim, size_t FrontCount,
+                    const QuotaCharge &Charge, size_t FrontCount,
                     TimePoint Now) {
   double rate = rateAt(Limit, shareAt(Quota, FrontCount, Now));
   double missing =
-      levelNeeded(Quota, Limit, Claim, FrontCount, Now) - Quota.Level;
+      levelNeeded(Quota, Limit, Charge, FrontCount, Now) - Quota.Level;
   if (missing < 0 || rate <= 0)
     return Millis(0);
   return Millis(static_cast<int64_t>(std::ceil(missing / rate * 1000.0)) + 1);
 }
 
-void recordDemand(LocalQuota &Quota, const QuotaCharge &Claim, TimePoint Now) {
-  if (Claim.Cost > 0) {
-    Quota.MeanCost += (Claim.Cost - Quota.MeanCost) * MeanWeight;
-    Quota.MeanDensity +=
-        (Claim.Worth / Claim.Cost - Quota.MeanDensity) * MeanWeight;
+void recordDemand(LocalQuota &Quota, const QuotaCharge &Charge, TimePoint Now) {
+  if (Charge.Cost > 0) {
+    Quota.MeanCost += (Charge.Cost - Quota.MeanCost) * MeanWeight;
+    Quota.MeanWorthPerToken +=
+        (Charge.Worth / Charge.Cost - Quota.MeanWorthPerToken) * MeanWeight;
   }
   if (Quota.DemandSince == TimePoint())
     Quota.DemandSince = Now;
-  Quota.DemandSum += Claim.Cost;
-  if (Now - Quota.DemandSince < DemandSpan)
+  Quota.DemandSum += Charge.Cost;
+  if (Now - Quota.DemandSince < DemandInterval)
     return;
   double rate = Quota.DemandSum / secondsOf(Now - Quota.DemandSince);
   Quota.DemandRate += (rate - Quota.DemandRate) * DemandWeight;
--- a/policy/rate_share.h
+++ b/policy/rate_share.h
@@ -1,12 +1,13 @@
 /// \file
-/// An organisation's rate divided over the fronts.
+/// Division of an organisation's rate among the fronts.
 ///
-/// Load patterns: callers are spread unevenly over fronts, and the spread
-/// changes; one organisation asks for several times its rate (small requests
-/// and those that are worth most for what they cost go first, so that a few
-/// large ones do not use all of it up). The leader
-/// divides the rate by what each front was asked for; a front out of contact
-/// keeps a small part, so that the sum stays within the limit's tolerance.
+/// Load patterns: callers are spread unevenly over the fronts, and the
+/// distribution changes. One organisation asks for several times its rate;
+/// small requests and those with the highest worth per token then have
+/// priority, so that a few large ones do not use up the rate. The leader
+/// divides the rate by the demand at each front. A front without contact to the
+/// leader keeps a small share, so that the sum stays within the limit's
+/// tolerance.
 #ifndef SASSAFRAS_POLICY_RATE_SHARE_H
 #define SASSAFRAS_POLICY_RATE_SHARE_H
 
@@ -18,97 +19,106 @@
 
 namespace sassafras {
 
-/// A front uses its share this long after the leader gave it; the leader
-/// counts on it for longer.
+/// Time for which a front uses its share after the leader assigned it. The
+/// leader accounts for the share for longer.
 inline constexpr Millis ShareLifetime{4'000};
-/// Part of an equal share that a front keeps when its share has run out. One
-/// that was never given a share has an equal one: it has just started, and
-/// mostly so have all.
-inline constexpr double FallbackShare = 0.5;
-/// Part of the rate that is divided by demand; the rest is divided equally,
-/// so that a front whose callers have just come is not without any.
-inline constexpr double DemandPart = 0.85;
-/// Part of what the limit's tolerance allows at once that fronts may save up
-/// together; the rest covers requests that run on credit.
-inline constexpr double SavedPart = 0.5;
-/// The same where the leader hands out more on request.
-inline constexpr double PooledSavedPart = 0.1;
-/// Part of the rate that is divided beforehand where the leader hands out the
-/// rest on request: most requests of busy organisations then need not ask.
-inline constexpr double DividedPart = 0.1;
+/// Fraction of an equal share that a front keeps when its share has expired. A
+/// front that was never assigned one uses an equal share: it has just started,
+/// and usually so have all others.
+inline constexpr double ExpiredShareFraction = 0.5;
+/// Fraction of the rate that is divided by demand. The rest is divided equally,
+/// so that a front whose callers have just arrived has some.
+inline constexpr double DemandFraction = 0.85;
+/// Maximum level of all fronts together as a fraction of the burst that the
+/// limit's tolerance allows. The rest covers requests on credit.
+inline constexpr double BurstFraction = 0.5;
+/// The same when the leader grants more on request.
+inline constexpr double PooledBurstFraction = 0.1;
+/// Fraction of the rate that is divided in advance when the leader grants the
+/// rest on request. It is enough that most requests of busy organisations need
+/// not ask.
+inline constexpr double PredistributedFraction = 0.1;
 
-/// Tokens that fronts were asked for, by front, in one second.
+/// Tokens per second requested at each front.
 using FrontDemand = std::map<std::string, double>;
 
-/// Parts of one, by front: what each is asked for, and of what is left over an
-/// equal part, so that a front with few callers can take several at once.
-/// \p Fronts are all that may be serving. Pure and thread safe.
+/// Returns the share of each front; the shares sum to 1. Each gets a share by
+/// demand and an equal part of what remains, so that a front with few callers
+/// can take several requests at once. \p Fronts lists all that may be serving.
+/// Pure and thread safe.
 std::map<std::string, double>
 divideRate(double Rate, const FrontDemand &Demand,
            const std::vector<std::string> &Fronts);
 
-/// One organisation's quota at one front.
+/// Quota of one organisation at one front.
 struct LocalQuota {
-  double Level = 0; ///< Tokens; may be below zero after a large request.
+  double Level = 0; ///< Tokens. May be negative after a large request.
   TimePoint FilledAt;
-  double FilledRate = 0; ///< Limit in force then.
-  double Share = 0;      ///< Of the whole rate.
+  double FilledRate = 0; ///< Rate limit in force at FilledAt.
+  double Share = 0;      ///< Share of the whole rate.
   TimePoint ShareEnd;
-  double DemandRate = 0; ///< Tokens asked for in a second, smoothed.
-  double DemandSum = 0;  ///< Since DemandSince.
+  double DemandRate = 0; ///< Requested tokens per second, smoothed.
+  double DemandSum = 0;  ///< Tokens requested since DemandSince.
   TimePoint DemandSince;
-  std::map<uint64_t, double> WaitingCosts; ///< Costs of requests that wait.
-  TimePoint PoolRequestedAt;       ///< The leader has not answered yet, if set.
-  TimePoint PoolEmptyUntil;        ///< The leader has nothing before this.
-  TimePoint PoolFavouredOnlyUntil; ///< And nothing but for favoured requests.
-  double MeanCost = 0;             ///< Of requests, smoothed.
-  double MeanDensity = 0;          ///< Worth for each token, smoothed.
+  /// Costs of the waiting requests by request number.
+  std::map<uint64_t, double> WaitingCosts;
+  TimePoint PoolRequestedAt; ///< Set while an answer of the leader is pending.
+  TimePoint PoolEmptyUntil;  ///< The leader grants nothing before this time.
+  /// Before this time, only for favoured requests.
+  TimePoint PoolFavouredOnlyUntil;
+  double MeanCost = 0;          ///< Mean cost of requests, smoothed.
+  double MeanWorthPerToken = 0; ///< Mean worth per token, smoothed.
 };
 
-/// What one request takes and what it is worth against others.
+/// Cost of one request in tokens and its worth relative to others.
 struct QuotaCharge {
   double Cost = 0;
   double Worth = 0;
 };
 
-/// How far beyond rate and burst the fleet may go in any window, as the
-/// operators' rules say.
+/// How far the fleet may exceed rate and burst in any window according to the
+/// operators' rules.
 struct QuotaTolerance {
   Millis Window{8'000};
   double Overshoot = 0.1;
-  double Slack = 0; ///< In the unit of the rate.
+  double Slack = 0; ///< Tokens.
 };
 
-/// Part of what may be saved up that is kept for small or worthy requests.
-inline constexpr double ReservedPart = 0.3;
+/// Fraction of the maximum level that is reserved for small requests and those
+/// of high worth.
+inline constexpr double ReservedFraction = 0.3;
 
-/// Rate and burst in force for the organisation, over all fronts.
+/// Rate and burst of the organisation over all fronts.
 struct QuotaLimit {
-  double RatePerSecond = 0; ///< 0 for none.
+  double RatePerSecond = 0; ///< 0 for no limit.
   double Burst = 0;
   QuotaTolerance Tolerance;
-  /// The leader is there to ask for more.
+  /// A leader is available that grants more on request.
   bool HasPool = false;
 };
 
-/// What all fronts together may spend at once beyond the rate.
+/// Returns the tokens that all fronts together may spend at once beyond the
+/// rate.
 double burstOf(const QuotaLimit &Limit);
-/// True when \p Claim goes first while its organisation is beyond its rate.
-bool isFavoured(const LocalQuota &Quota, const QuotaCharge &Claim);
+/// Returns true when \p Charge has priority while its organisation exceeds its
+/// rate.
+bool isFavoured(const LocalQuota &Quota, const QuotaCharge &Charge);
 
 void setShare(LocalQuota &Quota, double Share, TimePoint Now);
-/// Takes the tokens of \p Claim. False when the organisation is beyond its
-/// limit, or what it has left is kept for requests that are small or worth
-/// more. \p FrontCount: fronts in view, this one included.
+/// Takes the tokens of \p Charge. Returns false when the organisation has
+/// reached its limit, or when its remaining tokens are reserved for small
+/// requests or those of higher worth. \p FrontCount: fronts in view, including
+/// this one.
 bool takeQuota(LocalQuota &Quota, const QuotaLimit &Limit,
-               const QuotaCharge &Claim, size_t FrontCount, TimePoint Now);
-/// Gives back what was taken for a request that surely did not run.
+               const QuotaCharge &Charge, size_t FrontCount, TimePoint Now);
+/// Returns the tokens of a request that is known not to have run.
 void returnQuota(LocalQuota &Quota, double Cost);
-/// Time until \p Claim can be granted, as far as it can be told.
+/// Estimates the time until \p Charge can be granted.
 Millis waitForQuota(const LocalQuota &Quota, const QuotaLimit &Limit,
-                    const QuotaCharge &Claim, size_t FrontCount, TimePoint Now);
-/// Notes what was asked for, granted or not.
-void recordDemand(LocalQuota &Quota, const QuotaCharge &Claim, TimePoint Now);
+                    const QuotaCharge &Charge, size_t FrontCount,
+                    TimePoint Now);
+/// Records the demand of a request, whether granted or not.
+void recordDemand(LocalQuota &Quota, const QuotaCharge &Charge, TimePoint Now);
 
 } // namespace sassafras
 
--- a/tests/policy/test_overload.cpp
+++ b/tests/policy/test_overload.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Load patterns replayed against the policies that answer them.
+/// Tests of the overload policies under the load patterns that they handle.
 #include "policy/endpoint_choice.h"
 #include "policy/model_plan.h"
 #include "policy/quota_pool.h"
@@ -59,7 +59,7 @@
 
 // ---- Placement ----
 
-TEST_CASE("cold model is loaded where its weights are near") {
+TEST_CASE("cold model is loaded where access to its weights is fastest") {
   EngineSpec spec = smallSpec(8);
   std::map<std::string, ModelDemand> demand;
   demand["m7"] = {0.3, 1, 1, 8};
@@ -74,9 +74,9 @@
   CHECK_FALSE(loads[0].IsFromStore);
 }
 
-// Many rare models are asked for at once while a busy one has too few
-// replicas. Planned after them, it had 80 requests on one replica for 20 s.
-TEST_CASE("busy model with too few replicas is not held up by cold ones") {
+// Many rare models are requested at once while a busy one has too few replicas.
+// When it was planned after them, one replica had 80 requests for 20 s.
+TEST_CASE("busy model with too few replicas is not delayed by cold ones") {
   EngineSpec spec = smallSpec(40);
   std::map<std::string, ModelDemand> demand;
   demand["m0"] = {40, 80, 20, 40};
@@ -97,10 +97,10 @@
   CHECK(loads[0].Model == "m0");
 }
 
-TEST_CASE("busy models leave the store to those that lie on no engine") {
+TEST_CASE("busy models leave the store to models that are on no engine") {
   EngineSpec spec = smallSpec(8);
-  // Six empty engines have joined; m0 is busy and lies on a full one, m1 to m3
-  // were lost with their engine and are waited for.
+  // Six empty engines have joined. m0 is busy and loaded on a full engine. m1
+  // to m3 were lost with their engine, and requests wait for them.
   std::vector<PlanEngine> engines;
   for (int i = 0; i < 6; ++i)
     engines.push_back(engine("new-" + std::to_string(i), {}));
@@ -117,12 +117,13 @@
   CHECK(countLoads(loads, "m1") + countLoads(loads, "m2") +
             countLoads(loads, "m3") ==
         2);
-  // With one under way none is left for the busy one.
+  // With one load from the store in progress, none is left for the busy model.
   PlanInput later{spec, demand, engines, 1, 1, 10};
   CHECK(countLoads(planModels(later), "m0") == 0);
 }
 
-TEST_CASE("busy model may use the store while no lost one is waited for") {
+TEST_CASE(
+    "busy model may use the store while no request waits for a lost one") {
   EngineSpec spec = smallSpec(8);
   std::vector<PlanEngine> engines;
   for (int i = 0; i < 6; ++i)
@@ -135,10 +136,10 @@
   CHECK(countLoads(planModels(input), "m0") == 1);
 }
 
-// On 18 engines up to five loads from the store of busy models that lay near
-// kept their engines for 6 s each: callers of rare ones that lay there only
-// waited 3 to 8 s.
-TEST_CASE("busy model uses the store only once its replicas cannot do") {
+// On 18 engines, up to five loads from the store for busy models whose weights
+// were also on engines blocked their engines for 6 s each. Callers of rare
+// models whose weights were only on those engines waited 3 to 8 s.
+TEST_CASE("busy model uses the store only once its replicas are overloaded") {
   EngineSpec spec = smallSpec(8);
   std::vector<PlanEngine> engines{engine("old", {"m0"}), engine("a", {"m1"}),
                                   engine("b", {"m2"})};
@@ -148,7 +149,7 @@
   CHECK(planModels({spec, demand, engines, 1, 1, 10}).empty());
   demand["m0"].Busy = 30;
   CHECK(countLoads(planModels({spec, demand, engines, 1, 1, 10}), "m0") == 1);
-  // From a disk it is loaded at once.
+  // A load from disk starts at once.
   demand["m0"].Busy = 14;
   engines[2].OnDisk = {"m0"};
   auto loads = planModels({spec, demand, engines, 1, 1, 10});
@@ -156,10 +157,12 @@
   CHECK_FALSE(loads[0].IsFromStore);
 }
 
-// A model that rose to 30 requests a second lay on the disk of one engine,
-// which a load from the store kept under order for 15.6 s. As it lay near, it
-// was not loaded from the store either, and all its callers were refused.
-TEST_CASE("model near only at an engine that is under order uses the store") {
+// The weights of a model whose demand rose to 30 requests per second were on
+// the disk of one engine only, which a load from the store blocked for 15.6 s.
+// Because of that copy the model was not loaded from the store either, and all
+// its callers were refused.
+TEST_CASE(
+    "model whose only local weights are on a blocked engine uses the store") {
   EngineSpec spec = smallSpec(8);
   std::vector<PlanEngine> engines{engine("old", {}), engine("other", {}),
                                   engine("third", {})};
@@ -174,12 +177,12 @@
   auto loads = planModels(input);
   REQUIRE(countLoads(loads, "m0") == 1);
   CHECK(loads[0].IsFromStore);
-  // One that is free soon is waited for while lost models need the store.
+  // An engine that is soon free is waited for while lost models need the store.
   engines[0].TimeUntilFree = Millis(500);
   CHECK(countLoads(planModels(input), "m0") == 0);
 }
 
-TEST_CASE("load from the store goes where little else could be loaded") {
+TEST_CASE("load from the store goes where few other models could be loaded") {
   EngineSpec spec = smallSpec(12);
   std::vector<PlanEngine> engines{engine("a", {"m1"}), engine("b", {"m2"}),
                                   engine("c", {"m3"})};
@@ -194,8 +197,9 @@
   CHECK(engines[loads[0].Engine].Endpoint == "b");
 }
 
-// One load in ten made two models give way where one was enough.
-TEST_CASE("no model gives way that need not") {
+// Guards against evicting two models where one is enough, as one load in ten
+// did.
+TEST_CASE("no model is evicted unnecessarily") {
   EngineSpec spec = smallSpec(8);
   spec.Models["m0"].WeightsMb = 30;
   spec.Models["m1"].WeightsMb = 70;
@@ -213,8 +217,9 @@
   CHECK(loads[0].Evict == std::vector<std::string>{"m1"});
 }
 
-// Engines of 200 GB held 2.5 of 3 models: what was left of one fitted none.
-TEST_CASE("models of many sizes are laid so that others still fit") {
+// Engines of 200 GB held 2.5 models on average instead of 3: the memory left on
+// an engine fitted no model.
+TEST_CASE("models of many sizes are placed without fragmenting memory") {
   EngineSpec spec = smallSpec(40);
   const uint64_t sizes[] = {34'300, 65'100, 65'500, 72'700};
   spec.WeightsMb = 200'000;
@@ -230,7 +235,7 @@
     for (const auto &[name, model] : spec.Models)
       engines.back().OnDisk.insert(name);
   }
-  // They are asked for one after the other, as callers come.
+  // The models are requested one after the other.
   std::vector<int> order(40);
   std::iota(order.begin(), order.end(), 0);
   size_t held = 0;
@@ -257,12 +262,12 @@
       models.insert(it.Models.begin(), it.Models.end());
     held += models.size();
   }
-  // By their sizes they fill 11.9 of the 12 engines.
+  // By their sizes the models fill 11.9 of the 12 engines.
   CHECK(held >= 370);
   CHECK(evictions <= 30);
 }
 
-TEST_CASE("plan never overcommits an engine and orders one load for each") {
+TEST_CASE("plan never overcommits memory and orders one load per engine") {
   std::mt19937 random(7);
   for (int round = 0; round < 300; ++round) {
     EngineSpec spec = smallSpec(30);
@@ -310,11 +315,11 @@
   }
 }
 
-TEST_CASE("replicas of a model that fell silent give way, those of a busy one "
+TEST_CASE("replicas of a model without demand are evicted, those of a busy one "
           "stay") {
   EngineSpec spec = smallSpec(8);
   std::map<std::string, ModelDemand> demand;
-  demand["m0"] = {1, 0, 0, 0}; // Was busy.
+  demand["m0"] = {1, 0, 0, 0}; // No longer busy.
   demand["m1"] = {40, 40, 0, 0};
   demand["m5"] = {0.3, 1, 1, 8};
   std::vector<PlanEngine> engines;
@@ -328,7 +333,7 @@
     CHECK(std::find(it.Evict.begin(), it.Evict.end(), "m1") == it.Evict.end());
 }
 
-TEST_CASE("engine that leaves holds nothing that counts") {
+TEST_CASE("replicas on a leaving engine are not counted") {
   EngineSpec spec = smallSpec(4);
   std::map<std::string, ModelDemand> demand;
   demand["m0"] = {5, 1, 1, 5};
@@ -342,16 +347,17 @@
 
 namespace {
 
-/// A store that serves \p AtOnce loads at full speed: what begins beside more
-/// takes longer in proportion, to its end. Loads are begun as places allow.
-struct StoreReplay {
-  size_t AtOnce;
-  StoreConcurrency Pace;
+/// A store that serves FullSpeedLoads loads at full speed. A load that starts
+/// beside more takes proportionally longer until its end. Loads start whenever
+/// the limit allows.
+struct StoreSimulation {
+  size_t FullSpeedLoads;
+  StoreConcurrency Concurrency;
   TimePoint Now = Start;
   struct Load {
     TimePoint BegunAt;
     TimePoint EndsAt;
-    size_t Together;
+    size_t ConcurrentLoads;
   };
   std::deque<Load> UnderWay;
   int Done = 0;
@@ -364,42 +370,45 @@
         if (it.EndsAt > Now)
           return false;
         auto taken = std::chrono::duration_cast<Millis>(Now - it.BegunAt);
-        recordStoreLoad(Pace, it.Together, alone, taken, Now);
+        recordStoreLoad(Concurrency, it.ConcurrentLoads, alone, taken, Now);
         Longest = std::max(Longest, taken);
         ++Done;
         return true;
       });
-      if (UnderWay.size() >= Pace.MaxLoads)
+      if (UnderWay.size() >= Concurrency.MaxLoads)
         continue;
-      size_t together = UnderWay.size() + 1;
-      auto factor = std::max(1.0, static_cast<double>(together) /
-                                      static_cast<double>(AtOnce));
-      UnderWay.push_back(
-          {Now, Now + Millis(static_cast<int64_t>(7'800 * factor)), together});
+      size_t concurrentLoads = UnderWay.size() + 1;
+      auto factor = std::max(1.0, static_cast<double>(concurrentLoads) /
+                                      static_cast<double>(FullSpeedLoads));
+      UnderWay.push_back({Now,
+                          Now + Millis(static_cast<int64_t>(7'800 * factor)),
+                          concurrentLoads});
     }
   }
 };
 
 } // namespace
 
-// Three loads at once at a store that serves two took 11.7 s each, and each
-// kept its engine from other orders all that time.
-TEST_CASE("places at the store are found from how long loads take") {
-  for (size_t atOnce : {2, 4, 5}) {
-    StoreReplay replay{atOnce, {}, Start, {}, 0, Millis(0)};
-    replay.run(std::chrono::seconds(60));
-    INFO("at once " << atOnce << ", places " << replay.Pace.MaxLoads);
-    replay.Longest = Millis(0);
-    int before = replay.Done;
-    replay.run(std::chrono::seconds(200));
-    CHECK(replay.Pace.MaxLoads >= atOnce);
-    CHECK(replay.Pace.MaxLoads <= atOnce + 1);
-    // No slower than its rate, and only a probe now and then is slowed.
-    CHECK(replay.Done - before >= static_cast<int>(200 * atOnce / 7.8 * 0.85));
+// Three concurrent loads from a store that serves two at full speed took 11.7 s
+// each, and each blocked its engine for other orders all that time.
+TEST_CASE("limit on loads from the store is estimated from load times") {
+  for (size_t fullSpeedLoads : {2, 4, 5}) {
+    StoreSimulation simulation{fullSpeedLoads, {}, Start, {}, 0, Millis(0)};
+    simulation.run(std::chrono::seconds(60));
+    INFO("full-speed loads " << fullSpeedLoads << ", limit "
+                             << simulation.Concurrency.MaxLoads);
+    simulation.Longest = Millis(0);
+    int before = simulation.Done;
+    simulation.run(std::chrono::seconds(200));
+    CHECK(simulation.Concurrency.MaxLoads >= fullSpeedLoads);
+    CHECK(simulation.Concurrency.MaxLoads <= fullSpeedLoads + 1);
+    // Throughput stays close to the store's: only occasional probes are slowed.
+    CHECK(simulation.Done - before >=
+          static_cast<int>(200 * fullSpeedLoads / 7.8 * 0.85));
   }
 }
 
-TEST_CASE("short average follows a shift of demand, the long one remembers") {
+TEST_CASE("short average follows a shift of demand, the long one retains it") {
   ArrivalRates rates;
   TimePoint now = Start;
   for (int i = 0; i < 200; ++i, now += Millis(50))
@@ -413,7 +422,7 @@
 
 // ---- Routing ----
 
-TEST_CASE("near endpoint comes first while it has room") {
+TEST_CASE("endpoint in the same zone is preferred while it has capacity") {
   EndpointRecord near;
   EndpointRecord far;
   std::vector<EndpointCandidate> both{{"far", "b", 10, false, 0, &far},
@@ -424,7 +433,7 @@
   CHECK(both[*chooseEndpoint(both, "a", 0, Start)].Id == "far");
 }
 
-TEST_CASE("own sends count before a report tells of them") {
+TEST_CASE("own sends are counted before a report includes them") {
   EndpointRecord record;
   recordLoadReport(record, 4, EngineReportLifetime, Start);
   recordSend(record);
@@ -436,9 +445,9 @@
 
 namespace {
 
-/// Many fronts that send one model's requests to its engines and read the
-/// engines' reports at a slow pace.
-struct HerdRun {
+/// Many fronts that send requests for one model to its engines and receive
+/// infrequent load reports.
+struct HerdOptions {
   int Fronts = 31;
   int Engines = 4;
   double RequestsPerSecond = 24;
@@ -447,31 +456,31 @@
   bool IsNear = true; ///< Each front has an engine in its zone.
 };
 
-class Herd {
+class HerdSimulation {
 public:
-  Herd(HerdRun Run, uint64_t Seed)
-      : Run(Run), Random(Seed), Known(Run.Fronts), Engines(Run.Engines),
-        NextReport(Run.Engines) {
+  HerdSimulation(HerdOptions Options, uint64_t Seed)
+      : Options(Options), Random(Seed), Known(Options.Fronts),
+        Engines(Options.Engines), NextReport(Options.Engines) {
     for (auto &it : Known)
-      it.resize(Run.Engines);
-    for (int i = 0; i < Run.Engines; ++i)
-      NextReport[i] = Start + i * Run.ReportPeriod / Run.Engines;
+      it.resize(Options.Engines);
+    for (int i = 0; i < Options.Engines; ++i)
+      NextReport[i] = Start + i * Options.ReportPeriod / Options.Engines;
   }
 
-  /// Part of the requests of a minute that found more than twice an engine's
-  /// share at theirs.
-  double crowdedShare() {
-    std::exponential_distribution<double> gap(Run.RequestsPerSecond);
+  /// Fraction of the requests of one minute whose engine already held more than
+  /// twice an even share of the requests.
+  double overloadedShare() {
+    std::exponential_distribution<double> gap(Options.RequestsPerSecond);
     for (TimePoint now = Start; now < Start + std::chrono::seconds(60);) {
       now += std::chrono::duration_cast<Clock::duration>(
           std::chrono::duration<double>(gap(Random)));
-      for (int i = 0; i < Run.Engines; ++i) {
+      for (int i = 0; i < Options.Engines; ++i) {
         endRequests(i, now);
         report(i, now);
       }
-      send(static_cast<int>(Random() % Run.Fronts), now);
+      send(static_cast<int>(Random() % Options.Fronts), now);
     }
-    return static_cast<double>(Crowded) / static_cast<double>(Sent);
+    return static_cast<double>(Overloaded) / static_cast<double>(Sent);
   }
 
 private:
@@ -494,7 +503,7 @@
   void report(int Engine, TimePoint Now) {
     if (NextReport[Engine] > Now)
       return;
-    NextReport[Engine] = Now + Run.ReportPeriod;
+    NextReport[Engine] = Now + Options.ReportPeriod;
     for (auto &it : Known)
       recordLoadReport(it[Engine],
                        static_cast<uint32_t>(Engines[Engine].size()),
@@ -503,48 +512,49 @@
 
   void send(int Front, TimePoint Now) {
     std::vector<EndpointCandidate> candidates;
-    for (int i = 0; i < Run.Engines; ++i)
+    for (int i = 0; i < Options.Engines; ++i)
       candidates.push_back({std::to_string(i), "z" + std::to_string(i), 32,
                             false, 0, &Known[Front][i]});
-    std::string zone =
-        Run.IsNear ? "z" + std::to_string(Front % Run.Engines) : "elsewhere";
+    std::string zone = Options.IsNear
+                           ? "z" + std::to_string(Front % Options.Engines)
+                           : "elsewhere";
     auto chosen = chooseEndpoint(candidates, zone, draw(), Now);
     REQUIRE(chosen);
     auto &engine = Engines[*chosen];
-    double share = Run.RequestsPerSecond *
-                   std::chrono::duration<double>(Run.Service).count() /
-                   Run.Engines;
+    double share = Options.RequestsPerSecond *
+                   std::chrono::duration<double>(Options.Service).count() /
+                   Options.Engines;
     ++Sent;
-    Crowded += static_cast<double>(engine.size()) > 2 * share;
-    auto length = std::chrono::duration_cast<Clock::duration>(Run.Service *
+    Overloaded += static_cast<double>(engine.size()) > 2 * share;
+    auto length = std::chrono::duration_cast<Clock::duration>(Options.Service *
                                                               (0.5 + draw()));
     engine.push_back({Now + length, Front});
     recordSend(Known[Front][*chosen]);
   }
 
-  HerdRun Run;
+  HerdOptions Options;
   std::mt19937_64 Random;
   std::vector<std::vector<EndpointRecord>> Known; ///< By front and engine.
   std::vector<std::vector<Running>> Engines;
   std::vector<TimePoint> NextReport;
   size_t Sent = 0;
-  size_t Crowded = 0;
+  size_t Overloaded = 0;
 };
 
 } // namespace
 
-TEST_CASE("many fronts with late reports do not all turn to one engine") {
+TEST_CASE("many fronts with late reports do not all choose the same engine") {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
-    CHECK(Herd({}, seed).crowdedShare() < 0.02);
-    // Nothing but the load decides where no engine is near.
-    HerdRun far;
+    CHECK(HerdSimulation({}, seed).overloadedShare() < 0.02);
+    // Without an engine in the front's zone, only load decides.
+    HerdOptions far;
     far.IsNear = false;
-    CHECK(Herd(far, seed).crowdedShare() < 0.02);
+    CHECK(HerdSimulation(far, seed).overloadedShare() < 0.02);
   }
 }
 
-TEST_CASE("full endpoints take nothing more") {
+TEST_CASE("full endpoint is not chosen") {
   EndpointRecord record;
   std::vector<EndpointCandidate> one{{"e", "a", 4, false, 0, &record}};
   size_t sent = 0;
@@ -555,8 +565,8 @@
   CHECK(sent == 5);
 }
 
-TEST_CASE("endpoint that fails while its health is good is avoided, and tried "
-          "again") {
+TEST_CASE("endpoint that fails despite passing health checks is avoided, then "
+          "retried") {
   EndpointRecord bad;
   EndpointRecord good;
   std::vector<EndpointCandidate> both{{"bad", "a", 32, false, 0, &bad},
@@ -566,13 +576,13 @@
   CHECK(both[*chooseEndpoint(both, "a", 0, Start)].Id == "good");
   std::vector<EndpointCandidate> alone{both[0]};
   CHECK_FALSE(chooseEndpoint(alone, "a", 0, Start));
-  CHECK(chooseEndpoint(alone, "a", 0, Start + MostPause));
+  CHECK(chooseEndpoint(alone, "a", 0, Start + MaxEndpointPause));
 }
 
-// One endpoint is left of a plain service and many fronts send to it. A front
-// that was told "full" sends nothing, so it hears nothing newer: it must not
-// take the endpoint for full for good.
-TEST_CASE("endpoint that was full once is tried again without a newer report") {
+// Many fronts send to the last endpoint of a plain service. A front whose last
+// report says that it is full sends nothing and gets no newer report, so it
+// must not consider the endpoint full forever.
+TEST_CASE("endpoint that was full is retried without a newer report") {
   EndpointRecord record;
   recordLoadReport(record, 9, PlainReportLifetime, Start);
   std::vector<EndpointCandidate> alone = {{"d1", "a", 6, false, 0, &record}};
@@ -584,7 +594,7 @@
   CHECK(chooseEndpoint(alone, "a", 0, Start + Millis(3'000)));
 }
 
-TEST_CASE("endpoint that never tells its load is full only with what is open") {
+TEST_CASE("endpoint without load reports is full only by its open requests") {
   EndpointRecord record;
   std::vector<EndpointCandidate> alone = {{"d1", "a", 6, false, 0, &record}};
   for (int i = 0; i < 100; ++i) {
@@ -601,40 +611,43 @@
 
 namespace {
 
-/// All fronts of one organisation, callers spread unevenly, for some seconds.
-struct LimitRun {
+/// Result of requests of one organisation, sent for 40 s to all fronts with
+/// callers spread unevenly.
+struct QuotaRunResult {
   double MostInWindow = 0;
   uint64_t Refused = 0;
   uint64_t Asked = 0;
 };
 
-/// How fronts come by their tokens.
-enum class QuotaSource { Alone, Shares, Pool };
+/// Where fronts get their tokens from.
+enum class QuotaSource { LocalOnly, Shares, Pool };
 
-LimitRun runLimit(double Rate, double AskedRate, const std::vector<double> &Mix,
-                  QuotaSource Source, unsigned Seed) {
+QuotaRunResult simulateQuota(double Rate, double RequestedRate,
+                             const std::vector<double> &FrontWeights,
+                             QuotaSource Source, unsigned Seed) {
   std::mt19937 random(Seed);
   QuotaLimit limit{
       Rate, Rate, {Millis(8'000), 0.1, 17'000}, Source == QuotaSource::Pool};
   QuotaPool pool;
-  TimePoint ledSince = Start - std::chrono::minutes(1);
-  bool isBeyond = AskedRate > Rate;
-  std::vector<LocalQuota> fronts(Mix.size());
+  TimePoint leaderSince = Start - std::chrono::minutes(1);
+  bool isOverRate = RequestedRate > Rate;
+  std::vector<LocalQuota> fronts(FrontWeights.size());
   std::vector<std::string> names;
-  for (size_t i = 0; i < Mix.size(); ++i)
+  for (size_t i = 0; i < FrontWeights.size(); ++i)
     names.push_back("f" + std::to_string(i));
-  std::discrete_distribution<size_t> place(Mix.begin(), Mix.end());
+  std::discrete_distribution<size_t> place(FrontWeights.begin(),
+                                           FrontWeights.end());
   std::uniform_real_distribution<double> size(300, 2'500);
-  std::exponential_distribution<double> gap(AskedRate / 1'400);
+  std::exponential_distribution<double> gap(RequestedRate / 1'400);
   std::deque<std::pair<TimePoint, double>> window;
   double sum = 0;
-  LimitRun out;
+  QuotaRunResult out;
   TimePoint now = Start;
   TimePoint nextShares = Start;
   while (now < Start + std::chrono::seconds(40)) {
     now += std::chrono::duration_cast<Clock::duration>(
         std::chrono::duration<double>(gap(random)));
-    if (Source != QuotaSource::Alone && isPast(nextShares, now)) {
+    if (Source != QuotaSource::LocalOnly && isPast(nextShares, now)) {
       nextShares = now + Millis(300);
       FrontDemand demand;
       for (size_t i = 0; i < fronts.size(); ++i)
@@ -651,7 +664,7 @@
     if (!isGranted && limit.HasPool) {
       double missing = std::max(0.0, cost - front.Level);
       front.Level += drawFromPool(pool, limit, {missing, missing, false},
-                                  isBeyond, ledSince, now)
+                                  isOverRate, leaderSince, now)
                          .Granted;
       isGranted = takeQuota(front, limit, {cost, 1}, fronts.size(), now);
     }
@@ -670,53 +683,56 @@
   return out;
 }
 
-double boundOf(double Rate) { return (Rate * 8 + Rate) * 1.1 + 17'000; }
+double windowBound(double Rate) { return (Rate * 8 + Rate) * 1.1 + 17'000; }
 
 } // namespace
 
-TEST_CASE("organisation at six times its rate stays within it on all fronts "
-          "together") {
+TEST_CASE("organisation at six times its rate stays within its limit over all "
+          "fronts") {
   for (double rate : {5'000.0, 40'000.0, 160'000.0})
     for (QuotaSource source :
-         {QuotaSource::Alone, QuotaSource::Shares, QuotaSource::Pool})
+         {QuotaSource::LocalOnly, QuotaSource::Shares, QuotaSource::Pool})
       for (unsigned seed = 1; seed <= 5; ++seed) {
         INFO(rate << " source " << static_cast<int>(source) << " seed "
                   << seed);
-        LimitRun run =
-            runLimit(rate, rate * 6, {8, 1, 3, 1, 1, 2, 5, 1, 1}, source, seed);
-        CHECK(run.MostInWindow <= boundOf(rate));
+        QuotaRunResult run = simulateQuota(
+            rate, rate * 6, {8, 1, 3, 1, 1, 2, 5, 1, 1}, source, seed);
+        CHECK(run.MostInWindow <= windowBound(rate));
       }
 }
 
-TEST_CASE("organisation inside its rate is hardly refused anywhere") {
+TEST_CASE("organisation within its rate is rarely refused on any front") {
   for (QuotaSource source : {QuotaSource::Shares, QuotaSource::Pool})
     for (unsigned seed = 1; seed <= 5; ++seed) {
       INFO("source " << static_cast<int>(source) << " seed " << seed);
-      LimitRun run =
-          runLimit(40'000, 22'000, {8, 1, 3, 1, 1, 2, 5, 1, 1}, source, seed);
+      QuotaRunResult run = simulateQuota(
+          40'000, 22'000, {8, 1, 3, 1, 1, 2, 5, 1, 1}, source, seed);
       CHECK(static_cast<double>(run.Refused) <=
             0.02 * static_cast<double>(run.Asked));
     }
 }
 
-// Sixteen organisations, most of them small, on 31 fronts: divided beforehand,
-// a front's part of a small one's rate is a tenth of a request a second.
-TEST_CASE("small organisation inside its rate is hardly refused on many "
-          "fronts") {
+// Sixteen organisations, most of them small, on 31 fronts: if the rate were
+// divided in advance, a front's share for a small one would be a tenth of a
+// request per second.
+TEST_CASE(
+    "small organisation within its rate is rarely refused on many fronts") {
   std::vector<double> fronts(31, 1);
   for (unsigned seed = 1; seed <= 5; ++seed) {
     INFO("seed " << seed);
-    LimitRun run = runLimit(4'200, 2'300, fronts, QuotaSource::Pool, seed);
+    QuotaRunResult run =
+        simulateQuota(4'200, 2'300, fronts, QuotaSource::Pool, seed);
     INFO(run.Refused << " of " << run.Asked);
     CHECK(static_cast<double>(run.Refused) <=
           0.02 * static_cast<double>(run.Asked));
-    CHECK(run.MostInWindow <= boundOf(4'200));
-    LimitRun pressed = runLimit(4'200, 25'000, fronts, QuotaSource::Pool, seed);
-    CHECK(pressed.MostInWindow <= boundOf(4'200));
+    CHECK(run.MostInWindow <= windowBound(4'200));
+    QuotaRunResult pressed =
+        simulateQuota(4'200, 25'000, fronts, QuotaSource::Pool, seed);
+    CHECK(pressed.MostInWindow <= windowBound(4'200));
   }
 }
 
-TEST_CASE("pool grants on credit what it can never hold, and then waits") {
+TEST_CASE("pool grants a request larger than itself on credit, then waits") {
   QuotaLimit limit{1'000, 1'000, {}, true};
   QuotaPool pool;
   TimePoint later = Start + std::chrono::minutes(1);
@@ -726,14 +742,14 @@
   PoolGrant next =
       drawFromPool(pool, limit, {10, 10, false}, false, Start, later);
   CHECK(next.Granted == 0);
-  // 9,000 tokens at 1,000 a second, less what may be saved up.
+  // 9,000 tokens at 1,000 per second, less the maximum level of the pool.
   CHECK(next.Wait > std::chrono::seconds(7));
 }
 
-TEST_CASE("new leader's pool begins with a part of what it may save up") {
+TEST_CASE("new leader's pool starts at a fraction of the allowed burst") {
   QuotaLimit limit{1'000, 1'000, {Millis(8'000), 0.1, 0}, true};
   QuotaPool pool;
-  double first = burstOf(limit) * PoolStartPart;
+  double first = burstOf(limit) * PoolInitialFraction;
   CHECK(drawFromPool(pool, limit, {first, first, false}, false, Start, Start)
             .Granted == first);
   PoolGrant answer =
@@ -745,7 +761,7 @@
             .Granted == 500);
 }
 
-TEST_CASE("beyond the rate the pool keeps a part for favoured requests") {
+TEST_CASE("above the rate the pool reserves a part for favoured requests") {
   QuotaLimit limit{1'000, 10'000, {Millis(8'000), 0.1, 0}, true};
   QuotaPool pool;
   TimePoint full = Start + std::chrono::minutes(1);
@@ -758,13 +774,13 @@
       100);
 }
 
-// One organisation at six times its rate: a few large requests must not use
-// up what many small ones and those worth most could be served with.
-TEST_CASE("beyond the rate small and worthy requests are served first") {
+// One organisation sends six times its rate: a few large requests must not use
+// up the tokens for many small ones and those of the highest worth.
+TEST_CASE("above the rate small and high-worth requests are served first") {
   QuotaLimit limit{20'000, 20'000, {Millis(8'000), 0.1, 17'000}};
   LocalQuota front;
   struct Kind {
-    QuotaCharge Claim;
+    QuotaCharge Charge;
     int Asked = 0;
     int Served = 0;
   };
@@ -775,32 +791,35 @@
        now += Millis(10)) {
     Kind &it = kinds[mix(random)];
     ++it.Asked;
-    recordDemand(front, it.Claim, now);
-    it.Served += takeQuota(front, limit, it.Claim, 1, now);
+    recordDemand(front, it.Charge, now);
+    it.Served += takeQuota(front, limit, it.Charge, 1, now);
   }
   auto part = [](const Kind &it) {
     return static_cast<double>(it.Served) / it.Asked;
   };
-  // 20,000 tokens a second less those of the others, of 77,000 asked for.
+  // 20,000 tokens per second less those of the other kinds, of 77,000
+  // requested.
   CHECK(part(kinds[0]) > 0.9 * (20'000 - 25 * 200 - 8 * 1'100) / 77'000);
   CHECK(part(kinds[1]) > 0.9);
   CHECK(part(kinds[2]) > 0.9);
 }
 
-TEST_CASE("share of a front that hears no leader shrinks, and never grows") {
+TEST_CASE(
+    "share of a front without contact to the leader shrinks, never grows") {
   LocalQuota front;
   setShare(front, 0.9, Start);
   QuotaLimit limit{1'000, 1'000, {}};
   TimePoint late = Start + ShareLifetime + Millis(1);
   REQUIRE(takeQuota(front, limit, {5'000, 1}, 10, late));
   Millis wait = waitForQuota(front, limit, {1, 1}, 10, late);
-  // A tenth of the rate is an equal share; half of that is kept.
+  // An equal share is a tenth of the rate; half of that remains.
   CHECK(wait > std::chrono::seconds(60));
 }
 
 // ---- Retries ----
 
-TEST_CASE("retries of all fronts stay within the budget when all fails") {
+TEST_CASE(
+    "retries of all fronts stay within the budget when all endpoints fail") {
   RetryLimits limits{0.2, 60};
   std::vector<RetryBudget> fronts(9);
   uint64_t retries = 0;
