--- a/bench/site.cpp
+++ b/bench/site.cpp
@@ -13,7 +13,7 @@
 constexpr int EngineCount = 20;
 constexpr int EntryCount = 4;
 constexpr int ModelCount = 100;
-constexpr int TenantCount = 5;
+constexpr int OrganisationCount = 5;
 constexpr uint64_t EngineMemoryMb = 24'000;
 constexpr Millis TickPeriod{100};
 constexpr Millis LinkDelay{2};
@@ -22,27 +22,27 @@
 constexpr Millis CachedLoad{1500};
 constexpr Millis AdapterLoad{8};
 constexpr int FullSpeedLoads = 4;
-/// One tenant sends this many times its rate.
-constexpr double GreedyFactor = 4;
-constexpr int GreedyTenant = 3;
+/// One organisation sends this many times its rate.
+constexpr double OverloadFactor = 4;
+constexpr int OverloadedOrganisation = 3;
 
-struct TenantPlan {
+struct OrganisationSpec {
   std::string Name;
   uint64_t Rate;
   uint64_t Burst;
   uint32_t Weight;
 };
 
-const TenantPlan Tenants[TenantCount] = {
+const OrganisationSpec Organisations[OrganisationCount] = {
     {"t0", 900, 9000, 8}, {"t1", 600, 6000, 4}, {"t2", 150, 3000, 2},
     {"t3", 150, 3000, 2}, {"t4", 100, 2000, 1},
 };
 
-/// One request of the arrival list.
+/// One request of the generated arrivals.
 struct Arrival {
   TimePoint At;
   int Entry = 0;
-  int Tenant = 0;
+  int Organisation = 0;
   std::string Row;
   uint64_t Prompt = 0;
   uint64_t Output = 0;
@@ -66,13 +66,13 @@
   double Wait = 0;
 };
 
-class Site {
+class Simulation {
 public:
-  explicit Site(const SiteOptions &Options);
-  SiteResult run();
+  explicit Simulation(const SimulationOptions &Options);
+  SimulationResult run();
 
 private:
-  void after(Millis Wait, std::function<void()> Action) {
+  void schedule(Millis Wait, std::function<void()> Action) {
     Queue.emplace(std::make_pair(Now + Wait, Serial++), std::move(Action));
   }
   void transmit(const std::string &From, const std::string &To,
@@ -80,18 +80,18 @@
   void step(const ControlEvent &Event);
   void step(int Entry, const EntryEvent &Event);
   void step(const std::string &Agent, const AgentEvent &Event);
-  void obey(const std::string &Agent, const GiveOrder &Order);
-  void answer(const std::string &Agent, const StartExchange &Start);
+  void executeOrder(const std::string &Agent, const GiveOrder &Order);
+  void simulateResponse(const std::string &Agent, const StartExchange &Start);
   void grantLocally(int Entry, const wire::GrantRequest &Request);
   void tick();
-  void announce();
-  void makeTable();
-  void planArrivals();
-  void addSession(TimePoint At, int Tenant, double Greed);
-  void countIdle();
-  SiteResult measure();
-
-  SiteOptions Options;
+  void reportEndpoints();
+  void buildTable();
+  void generateArrivals();
+  void addSession(TimePoint At, int Organisation, double LoadFactor);
+  void accumulateIdleTime();
+  SimulationResult computeResult();
+
+  SimulationOptions Options;
   std::mt19937_64 Random;
   TimePoint Start = TimePoint() + std::chrono::hours(1);
   TimePoint Now = Start;
@@ -107,10 +107,10 @@
   std::map<std::string, size_t> ArrivalOf;
   std::vector<Outcome> Outcomes;
   int LoadsUnderWay = 0;
-  SiteResult Result;
+  SimulationResult Result;
 };
 
-Site::Site(const SiteOptions &Options)
+Simulation::Simulation(const SimulationOptions &Options)
     : Options(Options), Random(Options.Seed) {
   ControlOptions control;
   control.Store.LoadsPerSecond = Options.LoadsPerSecond;
@@ -133,12 +133,12 @@
     Agents[name].View.ControlAddresses = {"control"};
     Engines[name];
   }
-  makeTable();
-  planArrivals();
+  buildTable();
+  generateArrivals();
 }
 
-void Site::makeTable() {
-  for (const TenantPlan &it : Tenants) {
+void Simulation::buildTable() {
+  for (const OrganisationSpec &it : Organisations) {
     wire::TableRow row;
     row.set_kind(wire::ROW_TENANT);
     row.set_name(it.Name);
@@ -165,18 +165,18 @@
   }
 }
 
-/// A caller's visit: a burst of first requests at many entries, then a few
-/// more with pauses.
-void Site::addSession(TimePoint At, int Tenant, double Greed) {
+/// Adds the session of a caller: an initial burst of requests over many
+/// entries, then a few more with pauses.
+void Simulation::addSession(TimePoint At, int Organisation, double LoadFactor) {
   std::uniform_real_distribution<double> share(0, 1);
   int total = ModelCount + Options.Adapters;
-  // Few rows are asked for often, most of them rarely.
+  // A few rows are requested often, most rarely.
   int rank = static_cast<int>(std::pow(share(Random), 2.2) * total);
   const wire::TableRow &row =
-      Rows[TenantCount + static_cast<size_t>(rank * 37 % total)];
+      Rows[OrganisationCount + static_cast<size_t>(rank * 37 % total)];
   int first = 1 + static_cast<int>(Random() % 4);
   int later = static_cast<int>(Random() % 6);
-  if (Greed > 1)
+  if (LoadFactor > 1)
     first = 6;
   TimePoint at = At;
   for (int i = 0; i < first + later; ++i) {
@@ -184,7 +184,7 @@
     Arrival arrival;
     arrival.At = at;
     arrival.Entry = static_cast<int>(Random() % EntryCount);
-    arrival.Tenant = Tenant;
+    arrival.Organisation = Organisation;
     arrival.Row = row.name();
     arrival.Prompt = 20 + Random() % 200;
     arrival.Output = 20 + Random() % 180;
@@ -193,18 +193,19 @@
   }
 }
 
-void Site::planArrivals() {
-  for (int tenant = 0; tenant < TenantCount; ++tenant) {
-    double load = tenant == GreedyTenant ? GreedyFactor : 0.5;
-    // A session charges about 6 requests of 220 tokens.
-    double perSecond =
-        load * static_cast<double>(Tenants[tenant].Rate) / (6 * 220.0);
+void Simulation::generateArrivals() {
+  for (int organisation = 0; organisation < OrganisationCount; ++organisation) {
+    double load = organisation == OverloadedOrganisation ? OverloadFactor : 0.5;
+    // A session consists of about 6 requests of 220 tokens.
+    double perSecond = load *
+                       static_cast<double>(Organisations[organisation].Rate) /
+                       (6 * 220.0);
     std::exponential_distribution<double> gap(perSecond);
     double at = gap(Random);
     while (at < static_cast<double>(Options.Length.count())) {
       addSession(Start + std::chrono::seconds(10) +
                      Millis(static_cast<int64_t>(at * 1000)),
-                 tenant, load);
+                 organisation, load);
       at += gap(Random);
     }
   }
@@ -214,12 +215,12 @@
   Outcomes.resize(Arrivals.size());
 }
 
-void Site::transmit(const std::string &From, const std::string &To,
-                    wire::Envelope Message) {
+void Simulation::transmit(const std::string &From, const std::string &To,
+                          wire::Envelope Message) {
   Message.set_from(From);
   Message.set_reply_address(From);
   Message.set_incarnation(1);
-  after(LinkDelay, [this, To, message = std::move(Message)] {
+  schedule(LinkDelay, [this, To, message = std::move(Message)] {
     if (To == "control")
       step(ControlReceived{message});
     else if (To.starts_with("entry-"))
@@ -229,13 +230,13 @@
   });
 }
 
-void Site::step(const ControlEvent &Event) {
+void Simulation::step(const ControlEvent &Event) {
   for (ControlEffect &it : stepControl(Control, Event, Now))
     if (auto *message = std::get_if<RaftSend>(&it))
       transmit("control", message->Address, std::move(message->Message));
 }
 
-void Site::step(int Entry, const EntryEvent &Event) {
+void Simulation::step(int Entry, const EntryEvent &Event) {
   EntryState &state = Entries[static_cast<size_t>(Entry)];
   for (EntryEffect &it : stepEntry(state, Event, Now)) {
     if (auto *message = std::get_if<EntrySend>(&it)) {
@@ -259,15 +260,15 @@
   }
 }
 
-/// The simple limit: every entry spends its own part of the rate.
-void Site::grantLocally(int Entry, const wire::GrantRequest &Request) {
+/// Simple quota policy: every entry spends its own part of the rate.
+void Simulation::grantLocally(int Entry, const wire::GrantRequest &Request) {
   TokenBuckets &bank = LocalBanks[static_cast<size_t>(Entry)];
   wire::Envelope message;
   wire::GrantReply &reply = *message.mutable_grant_reply();
   reply.set_number(Request.number());
-  auto rateOf = [](const std::string &Tenant) {
-    for (const TenantPlan &it : Tenants)
-      if (it.Name == Tenant)
+  auto rateOf = [](const std::string &Organisation) {
+    for (const OrganisationSpec &it : Organisations)
+      if (it.Name == Organisation)
         return OrganisationRate{it.Rate / EntryCount, it.Burst / EntryCount};
     return OrganisationRate{};
   };
@@ -291,24 +292,25 @@
   transmit("control", "entry-" + std::to_string(Entry), std::move(message));
 }
 
-void Site::step(const std::string &Agent, const AgentEvent &Event) {
+void Simulation::step(const std::string &Agent, const AgentEvent &Event) {
   for (AgentEffect &it : stepAgent(Agents[Agent], Event, Now)) {
     if (auto *message = std::get_if<AgentSend>(&it)) {
       if (Options.Policy.IsCacheBlind && message->Message.has_heartbeat())
         message->Message.mutable_heartbeat()->clear_cached_rows();
       transmit(Agent, message->Address, std::move(message->Message));
     } else if (auto *order = std::get_if<GiveOrder>(&it)) {
-      obey(Agent, *order);
+      executeOrder(Agent, *order);
     } else if (auto *start = std::get_if<StartExchange>(&it)) {
-      answer(Agent, *start);
+      simulateResponse(Agent, *start);
     }
   }
 }
 
-void Site::obey(const std::string &Agent, const GiveOrder &Order) {
+void Simulation::executeOrder(const std::string &Agent,
+                              const GiveOrder &Order) {
   Engine &engine = Engines[Agent];
   if (Order.Kind == OrderKind::Unload) {
-    after(Millis(50), [this, Agent, Order] {
+    schedule(Millis(50), [this, Agent, Order] {
       Engines[Agent].Rows.erase(Order.Row);
       step(Agent, OrderDone{Order.Row, Order.Fence, true});
     });
@@ -323,7 +325,7 @@
   if (usesStore && LoadsUnderWay > FullSpeedLoads)
     wait = wait * LoadsUnderWay / FullSpeedLoads;
   engine.Rows[Order.Row] = {Order.MemoryMb, true};
-  after(wait, [this, Agent, Order, usesStore] {
+  schedule(wait, [this, Agent, Order, usesStore] {
     LoadsUnderWay -= usesStore;
     Engine &held = Engines[Agent];
     held.Rows[Order.Row].IsLoading = false;
@@ -332,7 +334,8 @@
   });
 }
 
-void Site::answer(const std::string &Agent, const StartExchange &Start) {
+void Simulation::simulateResponse(const std::string &Agent,
+                                  const StartExchange &Start) {
   const Arrival &arrival = Arrivals[ArrivalOf.at(Start.Key.RequestId)];
   ++Engines[Agent].RunningOfRow[arrival.Row];
   AttemptKey key = Start.Key;
@@ -341,18 +344,18 @@
   std::string body =
       "{\"total_tokens\":" + std::to_string(arrival.Prompt + arrival.Output) +
       "} data: [DONE]";
-  after(first, [this, Agent, key, body] {
+  schedule(first, [this, Agent, key, body] {
     step(Agent, EndpointHead{key, 200, {}});
     step(Agent, EndpointBody{key, body});
   });
   std::string row = arrival.Row;
-  after(whole, [this, Agent, key, row] {
+  schedule(whole, [this, Agent, key, row] {
     --Engines[Agent].RunningOfRow[row];
     step(Agent, EndpointEnd{key});
   });
 }
 
-void Site::announce() {
+void Simulation::reportEndpoints() {
   for (auto &[name, engine] : Engines) {
     EndpointReport report;
     report.Incarnation = 1;
@@ -362,10 +365,10 @@
     report.Cached = engine.Cached;
     step(name, EndpointAnnounced{report});
   }
-  after(Millis(500), [this] { announce(); });
+  schedule(Millis(500), [this] { reportEndpoints(); });
 }
 
-void Site::countIdle() {
+void Simulation::accumulateIdleTime() {
   double hours =
       std::chrono::duration<double, std::ratio<3600>>(TickPeriod).count();
   for (auto &[name, engine] : Engines)
@@ -375,14 +378,14 @@
                             static_cast<double>(EngineMemoryMb);
 }
 
-void Site::tick() {
+void Simulation::tick() {
   step(ControlTick{});
   for (int i = 0; i < EntryCount; ++i)
     step(i, EntryTick{});
   for (auto &[name, agent] : Agents)
     step(name, AgentTick{});
-  countIdle();
-  after(TickPeriod, [this] { tick(); });
+  accumulateIdleTime();
+  schedule(TickPeriod, [this] { tick(); });
 }
 
 double percentile(std::vector<double> Values, double Share) {
@@ -393,52 +396,52 @@
   return Values[std::min(index, Values.size() - 1)];
 }
 
-SiteResult Site::measure() {
+SimulationResult Simulation::computeResult() {
   std::string trace;
-  for (int tenant = 0; tenant < TenantCount; ++tenant) {
-    // One bucket for all entries, first in first out, is the ideal.
-    double level = static_cast<double>(Tenants[tenant].Burst);
+  for (int organisation = 0; organisation < OrganisationCount; ++organisation) {
+    // The ideal is a single bucket for all entries, served first in, first out.
+    double level = static_cast<double>(Organisations[organisation].Burst);
     TimePoint last = Start;
     std::vector<double> waits;
     double served = 0;
-    double due = 0;
+    double idealTokens = 0;
     uint64_t idealRefusals = 0;
     uint64_t refusals = 0;
     uint64_t withinRate = 0;
     for (size_t i = 0; i < Arrivals.size(); ++i) {
       const Arrival &it = Arrivals[i];
-      if (it.Tenant != tenant)
+      if (it.Organisation != organisation)
         continue;
-      auto rate = static_cast<double>(Tenants[tenant].Rate);
+      auto rate = static_cast<double>(Organisations[organisation].Rate);
       std::chrono::duration<double> passed = it.At - last;
-      level = std::min(static_cast<double>(Tenants[tenant].Burst),
+      level = std::min(static_cast<double>(Organisations[organisation].Burst),
                        level + rate * passed.count());
       last = it.At;
       auto cost = static_cast<double>(it.Prompt + it.Output);
       std::chrono::duration<double> longest = it.LongestWait;
-      bool isIdeal = level - cost >= -rate * longest.count();
-      if (isIdeal) {
+      bool isServedIdeally = level - cost >= -rate * longest.count();
+      if (isServedIdeally) {
         level -= cost;
-        due += cost;
+        idealTokens += cost;
       }
       const Outcome &outcome = Outcomes[i];
       if (outcome.IsServed) {
         served += cost;
         waits.push_back(outcome.Wait);
       }
-      idealRefusals += !isIdeal;
+      idealRefusals += !isServedIdeally;
       refusals += outcome.IsRateRefused;
-      withinRate += isIdeal && outcome.IsRateRefused;
+      withinRate += isServedIdeally && outcome.IsRateRefused;
       Result.Served += outcome.IsServed;
       trace += outcome.IsServed ? 's' : outcome.IsRateRefused ? 'r' : 'x';
     }
-    // Above its rate a tenant may be refused other requests than the ideal
-    // would refuse, only not more of them.
+    // An organisation above its rate may have other requests refused than under
+    // the ideal, but not more of them.
     if (idealRefusals > 0)
       withinRate = refusals > idealRefusals ? refusals - idealRefusals : 0;
     Result.WithinRateRefusals += withinRate;
-    if (due > 0)
-      Result.WorstShare = std::min(Result.WorstShare, served / due);
+    if (idealTokens > 0)
+      Result.WorstShare = std::min(Result.WorstShare, served / idealTokens);
     Result.WorstP95 = std::max(Result.WorstP95, percentile(waits, 0.95));
   }
   Result.Requests = Arrivals.size();
@@ -446,17 +449,17 @@
   return Result;
 }
 
-SiteResult Site::run() {
-  announce();
+SimulationResult Simulation::run() {
+  reportEndpoints();
   tick();
-  after(Millis(5000), [this] {
+  schedule(Millis(5000), [this] {
     wire::Command edit;
     for (const wire::TableRow &it : Rows)
       *edit.mutable_table_edit()->add_rows() = it;
     wire::Envelope message;
     *message.mutable_proposal()->mutable_command() = edit;
     transmit("operator", "control", message);
-    for (const TenantPlan &it : Tenants) {
+    for (const OrganisationSpec &it : Organisations) {
       wire::Envelope grant;
       wire::KeyGrant &key =
           *grant.mutable_proposal()->mutable_command()->mutable_key_grant();
@@ -474,7 +477,7 @@
       request.Method = "POST";
       request.Target = request.Path = "/v1/completions";
       request.Body = request.Id;
-      request.KeyHash = Tenants[arrival.Tenant].Name;
+      request.KeyHash = Organisations[arrival.Organisation].Name;
       request.Row = arrival.Row;
       request.IsStream = true;
       request.Prompt = arrival.Prompt;
@@ -490,11 +493,13 @@
     Queue.erase(next);
     action();
   }
-  return measure();
+  return computeResult();
 }
 
 } // namespace
 
-SiteResult runSite(const SiteOptions &Options) { return Site(Options).run(); }
+SimulationResult runSimulation(const SimulationOptions &Options) {
+  return Simulation(Options).run();
+}
 
 } // namespace sassafras
--- a/bench/site.h
+++ b/bench/site.h
@@ -1,7 +1,7 @@
 /// \file
-/// A site of one deployment in one thread: the real decisions of one control
-/// member, entries and agents, fixed service times and a seeded list of
-/// arrivals. No faults; see tests/fleet_run for those.
+/// Single-threaded simulation of one deployment: the production decision code
+/// of one control member, entries and agents, fixed service times and seeded
+/// arrivals. Without faults; see tests/fleet_run for those.
 #ifndef SASSAFRAS_BENCH_SITE_H
 #define SASSAFRAS_BENCH_SITE_H
 
@@ -15,38 +15,45 @@
 
 namespace sassafras {
 
-/// What differs between the measured policy and the simple ones.
-struct SitePolicy {
+/// Parts of the policy that are replaced by simpler ones for comparison.
+struct SimulationPolicy {
   const char *Name = "ours";
-  bool IsFixedIdle = false;   ///< Every row stays ten minutes.
-  bool IsCacheBlind = false;  ///< Checkpoint tiers are not looked at.
-  bool IsLocalBucket = false; ///< Each entry has rate/n and burst/n.
+  bool IsFixedIdle = false; ///< Every row stays loaded for ten minutes.
+  /// Placement ignores where checkpoints are cached.
+  bool IsCacheBlind = false;
+  bool IsLocalBucket = false; ///< Each of n entries has rate/n and burst/n.
 };
 
-struct SiteOptions {
+struct SimulationOptions {
   const char *Deployment = "bloomline";
   int Adapters = 120;
   double ColdStartPrice = 1;
   uint32_t LoadsPerSecond = 5;
   uint64_t Seed = 1;
   std::chrono::seconds Length{1200};
-  SitePolicy Policy = {};
+  SimulationPolicy Policy = {};
 };
 
-/// The four measures of the brief, with what they are made of.
-struct SiteResult {
+/// Results of one simulation.
+struct SimulationResult {
   std::vector<double> ColdSeconds;
-  double IdleHours = 0;  ///< Accelerator hours, by share of memory.
-  double WorstShare = 1; ///< Least served share of a tenant's fair due.
-  double WorstP95 = 0;   ///< Seconds, of the tenant with the longest.
+  /// Idle accelerator hours, weighted by share of memory.
+  double IdleHours = 0;
+  /// Smallest ratio over the organisations of served tokens to those that an
+  /// ideal shared bucket would serve.
+  double WorstShare = 1;
+  /// Largest 95th percentile of waiting time over the organisations, in
+  /// seconds.
+  double WorstP95 = 0;
   uint64_t WithinRateRefusals = 0;
   uint64_t Requests = 0;
   uint64_t Served = 0;
-  uint64_t Checksum = 0; ///< Of all outcomes; the same for the same seed.
+  /// Checksum of all outcomes; equal for equal seeds and options.
+  uint64_t Checksum = 0;
 };
 
-/// Runs one site to its end. Thread safe: nothing is shared.
-SiteResult runSite(const SiteOptions &Options);
+/// Runs one simulation to its end. Thread safe: nothing is shared.
+SimulationResult runSimulation(const SimulationOptions &Options);
 
 } // namespace sassafras
 
