--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -350,7 +350,7 @@
   Clock::duration patience =
       (Request.ObjectiveEnd - Request.ArrivedAt) / QuotaWaitPart;
   TimePoint patienceEnd = Request.ArrivedAt + patience;
-  Millis wait = waitForQuota(quota, limit, claim, fronts, Now);
+  Millis wait = estimateQuotaWait(quota, limit, claim, fronts, Now);
   if (limit.HasPool) {
     bool isFirst = isFavoured(quota, claim);
     TimePoint shut =
--- a/policy/rate_share.cpp
+++ b/policy/rate_share.cpp
@@ -138,9 +138,9 @@
 
 void returnQuota(LocalQuota &Quota, double Cost) { Quota.Level += Cost; }
 
-Millis waitForQuota(const LocalQuota &Quota, const QuotaLimit &Limit,
-                    const QuotaCharge &Charge, size_t FrontCount,
-                    TimePoint Now) {
+Millis estimateQuotaWait(const LocalQuota &Quota, const QuotaLimit &Limit,
+                         const QuotaCharge &Charge, size_t FrontCount,
+                         TimePoint Now) {
   double rate = rateAt(Limit, shareAt(Quota, FrontCount, Now));
   double missing =
       levelNeeded(Quota, Limit, Charge, FrontCount, Now) - Quota.Level;
--- a/policy/rate_share.h
+++ b/policy/rate_share.h
@@ -114,9 +114,9 @@
 /// Returns the tokens of a request that is known not to have run.
 void returnQuota(LocalQuota &Quota, double Cost);
 /// Estimates the time until \p Charge can be granted.
-Millis waitForQuota(const LocalQuota &Quota, const QuotaLimit &Limit,
-                    const QuotaCharge &Charge, size_t FrontCount,
-                    TimePoint Now);
+Millis estimateQuotaWait(const LocalQuota &Quota, const QuotaLimit &Limit,
+                         const QuotaCharge &Charge, size_t FrontCount,
+                         TimePoint Now);
 /// Records the demand of a request, whether granted or not.
 void recordDemand(LocalQuota &Quota, const QuotaCharge &Charge, TimePoint Now);
 
--- a/tests/policy/test_overload.cpp
+++ b/tests/policy/test_overload.cpp
@@ -811,7 +811,7 @@
   QuotaLimit limit{1'000, 1'000, {}};
   TimePoint late = Start + ShareLifetime + Millis(1);
   REQUIRE(takeQuota(front, limit, {5'000, 1}, 10, late));
-  Millis wait = waitForQuota(front, limit, {1, 1}, 10, late);
+  Millis wait = estimateQuotaWait(front, limit, {1, 1}, 10, late);
   // An equal share is a tenth of the rate; half of that remains.
   CHECK(wait > std::chrono::seconds(60));
 }
