--- a/front/leader_work.cpp
+++ b/front/leader_work.cpp
@@ -208,7 +208,8 @@
     PlanEngine plan;
     plan.Endpoint = id;
     plan.IsLeaving = !isUsable(known, Now) || engine->IsSilent;
-    plan.CanOrder = engine->IsFromAgent && !engine->IsBusy && !plan.IsLeaving;
+    plan.AcceptsOrders =
+        engine->IsFromAgent && !engine->IsBusy && !plan.IsLeaving;
     plan.LoadShare = static_cast<double>(engine->Active + engine->Queued) /
                      std::max<uint32_t>(known.Slots, 1);
     for (const auto &[model, adapters] : engine->Models) {
@@ -230,7 +231,7 @@
           Leader.FreshUntil[{id, order->second.Model}] = Now + FreshSpan;
         Leader.Orders.erase(order);
       } else {
-        plan.CanOrder = false;
+        plan.AcceptsOrders = false;
         plan.Loading = order->second.Model;
         auto spec = Spec.Models.find(plan.Loading);
         if (spec != Spec.Models.end())
@@ -244,7 +245,7 @@
       }
     } else if (!engine->Loading.empty()) {
       // Ordered by an earlier leader.
-      plan.CanOrder = false;
+      plan.AcceptsOrders = false;
       plan.Loading = engine->Loading;
       auto spec = Spec.Models.find(plan.Loading);
       if (spec != Spec.Models.end())
--- a/policy/model_plan.cpp
+++ b/policy/model_plan.cpp
@@ -278,7 +278,7 @@
   const std::vector<PlanEngine> &engines = View.Input.Engines;
   for (size_t i = 0; i < engines.size(); ++i) {
     const PlanEngine &engine = engines[i];
-    if (!engine.CanOrder || engine.IsLeaving || Taken.contains(i) ||
+    if (!engine.AcceptsOrders || engine.IsLeaving || Taken.contains(i) ||
         engine.Models.contains(Name))
       continue;
     bool isFromStore =
--- a/policy/model_plan.h
+++ b/policy/model_plan.h
@@ -63,7 +63,7 @@
 struct PlanEngine {
   std::string Endpoint; ///< Identity of the endpoint.
   /// Its agent is connected and no order is in progress.
-  bool CanOrder = false;
+  bool AcceptsOrders = false;
   /// The engine is leaving: its models are not counted as replicas.
   bool IsLeaving = false;
   double LoadShare = 0;    ///< Requests divided by slots.
--- a/tests/policy/test_overload.cpp
+++ b/tests/policy/test_overload.cpp
@@ -42,7 +42,7 @@
 PlanEngine engine(const std::string &Name, std::set<std::string> Models) {
   PlanEngine out;
   out.Endpoint = Name;
-  out.CanOrder = true;
+  out.AcceptsOrders = true;
   out.Models = std::move(Models);
   return out;
 }
@@ -106,7 +106,7 @@
     engines.push_back(engine("new-" + std::to_string(i), {}));
   engines.push_back(engine("old", {"m0"}));
   engines.back().OnDisk = {"m0"};
-  engines.back().CanOrder = false;
+  engines.back().AcceptsOrders = false;
   std::map<std::string, ModelDemand> demand;
   demand["m0"] = {100, 60, 30, 300};
   for (const char *it : {"m1", "m2", "m3"})
@@ -129,7 +129,7 @@
   for (int i = 0; i < 6; ++i)
     engines.push_back(engine("new-" + std::to_string(i), {}));
   engines.push_back(engine("old", {"m0"}));
-  engines.back().CanOrder = false;
+  engines.back().AcceptsOrders = false;
   std::map<std::string, ModelDemand> demand;
   demand["m0"] = {100, 60, 30, 300};
   PlanInput input{spec, demand, engines, 1, 1, 10};
@@ -143,7 +143,7 @@
   EngineSpec spec = smallSpec(8);
   std::vector<PlanEngine> engines{engine("old", {"m0"}), engine("a", {"m1"}),
                                   engine("b", {"m2"})};
-  engines[0].CanOrder = false;
+  engines[0].AcceptsOrders = false;
   std::map<std::string, ModelDemand> demand;
   demand["m0"] = {30, 14, 1, 3}; // Two replicas are wanted.
   CHECK(planModels({spec, demand, engines, 1, 1, 10}).empty());
@@ -167,7 +167,7 @@
   std::vector<PlanEngine> engines{engine("old", {}), engine("other", {}),
                                   engine("third", {})};
   engines[0].OnDisk = {"m0"};
-  engines[0].CanOrder = false;
+  engines[0].AcceptsOrders = false;
   engines[0].Loading = "m1";
   engines[0].TimeUntilFree = Millis(12'000);
   std::map<std::string, ModelDemand> demand;
@@ -291,14 +291,14 @@
         if (it.Models.insert(model).second)
           used += spec.Models[model].WeightsMb;
       }
-      it.CanOrder = random() % 3 > 0;
+      it.AcceptsOrders = random() % 3 > 0;
       engines.push_back(it);
     }
     std::set<size_t> taken;
     size_t fromStore = 0;
     for (const PlannedLoad &it : planModels({spec, demand, engines, 0, 0, 2})) {
       const PlanEngine &target = engines[it.Engine];
-      CHECK(target.CanOrder);
+      CHECK(target.AcceptsOrders);
       CHECK(taken.insert(it.Engine).second);
       CHECK_FALSE(target.Models.contains(it.Model));
       fromStore += it.IsFromStore;
