--- a/entry/answering.cpp
+++ b/entry/answering.cpp
@@ -447,8 +447,8 @@
   endAttempt(State, request);
   dequeue(State, request);
   if (request.Charged > UsedTokens)
-    returnCharge(State.Tokens, request.Tenant, request.Charged - UsedTokens,
-                 request.ChargedAt, Now);
+    queueRefund(State.Tokens, request.Tenant, request.Charged - UsedTokens,
+                request.ChargedAt, Now);
   State.Requests.erase(Id);
 }
 
--- a/policy/held_grants.cpp
+++ b/policy/held_grants.cpp
@@ -52,8 +52,8 @@
   demand.Minimum = demand.Minimum == 0 ? Cost : demand.Minimum;
 }
 
-void returnCharge(HeldGrants &Held, const std::string &Organisation,
-                  uint64_t Tokens, TimePoint ChargedAt, TimePoint Now) {
+void queueRefund(HeldGrants &Held, const std::string &Organisation,
+                 uint64_t Tokens, TimePoint ChargedAt, TimePoint Now) {
   if (Tokens == 0)
     return;
   wire::GrantReturn back;
--- a/policy/held_grants.h
+++ b/policy/held_grants.h
@@ -54,8 +54,8 @@
 void requestTokens(HeldGrants &Held, const std::string &Organisation,
                    uint64_t Cost);
 /// Queues a refund of the unused part of a charge for the next grant request.
-void returnCharge(HeldGrants &Held, const std::string &Organisation,
-                  uint64_t Tokens, TimePoint ChargedAt, TimePoint Now);
+void queueRefund(HeldGrants &Held, const std::string &Organisation,
+                 uint64_t Tokens, TimePoint ChargedAt, TimePoint Now);
 /// Moves grants that expire soon, or all if \p All, to the list of returns.
 void returnGrants(HeldGrants &Held, bool All, TimePoint Now);
 /// Returns true when a grant request should be sent now.
--- a/tests/policy/test_token_bank.cpp
+++ b/tests/policy/test_token_bank.cpp
@@ -144,7 +144,7 @@
           // Part of the charge turns out to be unused.
           uint64_t unused = random() % cost;
           spent.back().Tokens -= static_cast<double>(unused);
-          returnCharge(held, "alpha", unused, now, now);
+          queueRefund(held, "alpha", unused, now, now);
         }
       } else {
         requestTokens(held, "alpha", cost);
