--- a/control/observation.cpp
+++ b/control/observation.cpp
@@ -107,7 +107,7 @@
       continue;
     EndpointUse &use = all[name];
     use.IsLive = isLive(State, name, Now);
-    use.HasUnknownReplicas = info.Beat.has_strangers();
+    use.HasUnassignedReplicas = info.Beat.has_strangers();
     use.CachedRows.insert(info.Beat.cached_rows().begin(),
                           info.Beat.cached_rows().end());
     for (const wire::ReplicaReport &it : info.Beat.replicas())
--- a/policy/placement.cpp
+++ b/policy/placement.cpp
@@ -99,7 +99,7 @@
 bool Planner::isUsable(const wire::Endpoint &Endpoint) const {
   auto it = Input.Endpoints.find(Endpoint.name());
   return it != Input.Endpoints.end() && it->second.IsLive &&
-         !it->second.HasUnknownReplicas && Endpoint.ready() &&
+         !it->second.HasUnassignedReplicas && Endpoint.ready() &&
          !Endpoint.leaving() && !Endpoint.is_service();
 }
 
--- a/policy/placement.h
+++ b/policy/placement.h
@@ -42,7 +42,7 @@
 struct EndpointUse {
   bool IsLive = false;
   /// Holds replicas that no placement decision created.
-  bool HasUnknownReplicas = false;
+  bool HasUnassignedReplicas = false;
   std::set<std::string> CachedRows;
   std::map<std::string, ReplicaUse> Replicas;
 };
