--- a/policy/model_plan.cpp
+++ b/policy/model_plan.cpp
@@ -376,7 +376,7 @@
   buildMemoryTable(view);
   std::set<size_t> taken;
   size_t underWay = Input.LoadsUnderWay;
-  size_t storeUnderWay = Input.StoreLoadsUnderWay;
+  size_t storeUnderWay = Input.StoreLoadsInProgress;
   uint32_t storeLeft = Input.StoreLoadsAllowed;
   std::vector<LoadCandidate> candidates = listLoadCandidates(view.States);
   bool hasLost = std::any_of(
