--- a/bench/site.cpp
+++ b/bench/site.cpp
@@ -106,7 +106,7 @@
   std::vector<Arrival> Arrivals;
   std::map<std::string, size_t> ArrivalOf;
   std::vector<Outcome> Outcomes;
-  int LoadsUnderWay = 0;
+  int LoadsInProgress = 0;
   SimulationResult Result;
 };
 
@@ -321,12 +321,12 @@
                 : isCached      ? CachedLoad
                                 : ColdLoad;
   bool usesStore = !Order.IsAdapter && !isCached;
-  LoadsUnderWay += usesStore;
-  if (usesStore && LoadsUnderWay > FullSpeedLoads)
-    wait = wait * LoadsUnderWay / FullSpeedLoads;
+  LoadsInProgress += usesStore;
+  if (usesStore && LoadsInProgress > FullSpeedLoads)
+    wait = wait * LoadsInProgress / FullSpeedLoads;
   engine.Rows[Order.Row] = {Order.MemoryMb, true};
   schedule(wait, [this, Agent, Order, usesStore] {
-    LoadsUnderWay -= usesStore;
+    LoadsInProgress -= usesStore;
     Engine &held = Engines[Agent];
     held.Rows[Order.Row].IsLoading = false;
     held.Cached.insert(Order.Row);
--- a/policy/model_plan.cpp
+++ b/policy/model_plan.cpp
@@ -375,7 +375,7 @@
   PlanView view{Input, gather(Input), {}, 0};
   buildMemoryTable(view);
   std::set<size_t> taken;
-  size_t underWay = Input.LoadsUnderWay;
+  size_t underWay = Input.LoadsInProgress;
   size_t storeUnderWay = Input.StoreLoadsInProgress;
   uint32_t storeLeft = Input.StoreLoadsAllowed;
   std::vector<LoadCandidate> candidates = listLoadCandidates(view.States);
--- a/policy/model_plan.h
+++ b/policy/model_plan.h
@@ -83,7 +83,7 @@
   const EngineSpec &Spec;
   const std::map<std::string, ModelDemand> &Demand;
   const std::vector<PlanEngine> &Engines;
-  size_t LoadsUnderWay = 0;
+  size_t LoadsInProgress = 0;
   size_t StoreLoadsInProgress = 0;
   uint32_t StoreLoadsAllowed = 0; ///< Loads from the store that may start now.
   /// Limit on concurrent loads from the store.
