--- a/bench/site.cpp
+++ b/bench/site.cpp
@@ -340,7 +340,7 @@
   ++Engines[Agent].RunningOfRow[arrival.Row];
   AttemptKey key = Start.Key;
   Millis first = Millis(80) + Millis(arrival.Prompt);
-  Millis whole = first + TokenTime * static_cast<int64_t>(arrival.Output);
+  Millis untilEnd = first + TokenTime * static_cast<int64_t>(arrival.Output);
   std::string body =
       "{\"total_tokens\":" + std::to_string(arrival.Prompt + arrival.Output) +
       "} data: [DONE]";
@@ -349,7 +349,7 @@
     step(Agent, EndpointBody{key, body});
   });
   std::string row = arrival.Row;
-  schedule(whole, [this, Agent, key, row] {
+  schedule(untilEnd, [this, Agent, key, row] {
     --Engines[Agent].RunningOfRow[row];
     step(Agent, EndpointEnd{key});
   });
--- a/policy/model_plan.cpp
+++ b/policy/model_plan.cpp
@@ -183,14 +183,14 @@
     eviction.LostPerSecond += Victims[i].Value;
     eviction.DelaySeconds = std::max(eviction.DelaySeconds, Victims[i].Delay);
   }
-  uint64_t whole = View.Input.Spec.WeightsMb;
-  if (after > whole)
+  uint64_t totalMb = View.Input.Spec.WeightsMb;
+  if (after > totalMb)
     return std::nullopt;
   // Memory that models could fill before and no longer can: fragmentation.
   auto before =
-      static_cast<double>(stepsOf(UsedMb) + fillable(View, whole - UsedMb));
+      static_cast<double>(stepsOf(UsedMb) + fillable(View, totalMb - UsedMb));
   auto left =
-      static_cast<double>(stepsOf(after) + fillable(View, whole - after));
+      static_cast<double>(stepsOf(after) + fillable(View, totalMb - after));
   eviction.FragmentationCost =
       (before - left) * View.WorthPerStep * PaybackSeconds;
   eviction.Cost =
@@ -216,8 +216,8 @@
     victims.push_back({&found->first, lastReplicaValue(state, state.Replicas),
                        unloadDelay(Engine, it), state.Spec->WeightsMb});
   }
-  uint64_t whole = View.Input.Spec.WeightsMb;
-  if (used > whole)
+  uint64_t totalMb = View.Input.Spec.WeightsMb;
+  if (used > totalMb)
     return std::nullopt;
   std::sort(victims.begin(), victims.end(),
             [&](const Victim &A, const Victim &B) {
--- a/policy/placement.cpp
+++ b/policy/placement.cpp
@@ -34,9 +34,9 @@
   std::vector<WaitingRow> waiting;
   for (const auto &[name, demand] : Input.Demand) {
     const wire::TableRow *row = findRow(Input.Items, name);
-    bool isLoaded = row && (row->kind() == wire::ROW_MODEL ||
-                            row->kind() == wire::ROW_ADAPTER);
-    if (isLoaded && demand.Waiting > 0)
+    bool isLoadable = row && (row->kind() == wire::ROW_MODEL ||
+                              row->kind() == wire::ROW_ADAPTER);
+    if (isLoadable && demand.Waiting > 0)
       waiting.push_back({row, demand, urgencyOf(Input, *row, demand)});
   }
   std::stable_sort(waiting.begin(), waiting.end(),
--- a/tests/policy/test_overload.cpp
+++ b/tests/policy/test_overload.cpp
@@ -452,16 +452,16 @@
   int Engines = 4;
   double RequestsPerSecond = 24;
   Millis ReportPeriod{1'200};
-  Millis Service{1'700};
-  bool IsNear = true; ///< Each front has an engine in its zone.
+  Millis ServiceTime{1'700};
+  bool HasLocalEngine = true; ///< Each front has an engine in its zone.
 };
 
 class HerdSimulation {
 public:
   HerdSimulation(HerdOptions Options, uint64_t Seed)
-      : Options(Options), Random(Seed), Known(Options.Fronts),
+      : Options(Options), Random(Seed), Records(Options.Fronts),
         Engines(Options.Engines), NextReport(Options.Engines) {
-    for (auto &it : Known)
+    for (auto &it : Records)
       it.resize(Options.Engines);
     for (int i = 0; i < Options.Engines; ++i)
       NextReport[i] = Start + i * Options.ReportPeriod / Options.Engines;
@@ -495,7 +495,7 @@
     std::erase_if(Engines[Engine], [&](const Running &it) {
       if (it.Ends > Now)
         return false;
-      recordClose(Known[it.Front][Engine]);
+      recordClose(Records[it.Front][Engine]);
       return true;
     });
   }
@@ -504,7 +504,7 @@
     if (NextReport[Engine] > Now)
       return;
     NextReport[Engine] = Now + Options.ReportPeriod;
-    for (auto &it : Known)
+    for (auto &it : Records)
       recordLoadReport(it[Engine],
                        static_cast<uint32_t>(Engines[Engine].size()),
                        EngineReportLifetime, Now);
@@ -514,27 +514,27 @@
     std::vector<EndpointCandidate> candidates;
     for (int i = 0; i < Options.Engines; ++i)
       candidates.push_back({std::to_string(i), "z" + std::to_string(i), 32,
-                            false, 0, &Known[Front][i]});
-    std::string zone = Options.IsNear
+                            false, 0, &Records[Front][i]});
+    std::string zone = Options.HasLocalEngine
                            ? "z" + std::to_string(Front % Options.Engines)
                            : "elsewhere";
     auto chosen = chooseEndpoint(candidates, zone, draw(), Now);
     REQUIRE(chosen);
     auto &engine = Engines[*chosen];
     double share = Options.RequestsPerSecond *
-                   std::chrono::duration<double>(Options.Service).count() /
+                   std::chrono::duration<double>(Options.ServiceTime).count() /
                    Options.Engines;
     ++Sent;
     Overloaded += static_cast<double>(engine.size()) > 2 * share;
-    auto length = std::chrono::duration_cast<Clock::duration>(Options.Service *
-                                                              (0.5 + draw()));
+    auto length = std::chrono::duration_cast<Clock::duration>(
+        Options.ServiceTime * (0.5 + draw()));
     engine.push_back({Now + length, Front});
-    recordSend(Known[Front][*chosen]);
+    recordSend(Records[Front][*chosen]);
   }
 
   HerdOptions Options;
   std::mt19937_64 Random;
-  std::vector<std::vector<EndpointRecord>> Known; ///< By front and engine.
+  std::vector<std::vector<EndpointRecord>> Records; ///< By front and engine.
   std::vector<std::vector<Running>> Engines;
   std::vector<TimePoint> NextReport;
   size_t Sent = 0;
@@ -549,7 +549,7 @@
     CHECK(HerdSimulation({}, seed).overloadedShare() < 0.02);
     // Without an engine in the front's zone, only load decides.
     HerdOptions far;
-    far.IsNear = false;
+    far.HasLocalEngine = false;
     CHECK(HerdSimulation(far, seed).overloadedShare() < 0.02);
   }
 }
@@ -726,9 +726,9 @@
     CHECK(static_cast<double>(run.Refused) <=
           0.02 * static_cast<double>(run.Asked));
     CHECK(run.MostInWindow <= windowBound(4'200));
-    QuotaRunResult pressed =
+    QuotaRunResult overLimit =
         simulateQuota(4'200, 25'000, fronts, QuotaSource::Pool, seed);
-    CHECK(pressed.MostInWindow <= windowBound(4'200));
+    CHECK(overLimit.MostInWindow <= windowBound(4'200));
   }
 }
 
