--- a/entry/dispatch.cpp
+++ b/entry/dispatch.cpp
@@ -141,7 +141,7 @@
   if (isFree || Request.Charged > 0)
     return true;
   if (!spendTokens(State.Tokens, Request.Tenant, Request.Caller.Cost, Now)) {
-    requestTokens(State.Tokens, Request.Tenant, Request.Caller.Cost);
+    addTokenDemand(State.Tokens, Request.Tenant, Request.Caller.Cost);
     return false;
   }
   Request.Charged = Request.Caller.Cost;
--- a/policy/held_grants.cpp
+++ b/policy/held_grants.cpp
@@ -45,8 +45,8 @@
   return true;
 }
 
-void requestTokens(HeldGrants &Held, const std::string &Organisation,
-                   uint64_t Cost) {
+void addTokenDemand(HeldGrants &Held, const std::string &Organisation,
+                    uint64_t Cost) {
   TokenDemand &demand = Held.PendingDemands[Organisation];
   demand.Tokens += Cost * PrefetchFactor;
   demand.Minimum = demand.Minimum == 0 ? Cost : demand.Minimum;
--- a/policy/held_grants.h
+++ b/policy/held_grants.h
@@ -51,8 +51,8 @@
 bool spendTokens(HeldGrants &Held, const std::string &Organisation,
                  uint64_t Tokens, TimePoint Now);
 /// Records that a request of \p Cost waits only for tokens.
-void requestTokens(HeldGrants &Held, const std::string &Organisation,
-                   uint64_t Cost);
+void addTokenDemand(HeldGrants &Held, const std::string &Organisation,
+                    uint64_t Cost);
 /// Queues a refund of the unused part of a charge for the next grant request.
 void queueRefund(HeldGrants &Held, const std::string &Organisation,
                  uint64_t Tokens, TimePoint ChargedAt, TimePoint Now);
--- a/tests/policy/test_token_bank.cpp
+++ b/tests/policy/test_token_bank.cpp
@@ -147,7 +147,7 @@
           queueRefund(held, "alpha", unused, now, now);
         }
       } else {
-        requestTokens(held, "alpha", cost);
+        addTokenDemand(held, "alpha", cost);
       }
       returnGrants(held, false, now);
       if (needsGrantRequest(held, now)) {
