--- a/policy/store_pace.cpp
+++ b/policy/store_pace.cpp
@@ -16,7 +16,7 @@
         std::lround(static_cast<double>(ConcurrentLoads) / ratio));
     Concurrency.MaxLoads =
         std::clamp(limit, MinStoreLoadLimit, MaxStoreLoadLimit);
-    Concurrency.ProbeAfter = Now + ProbeInterval;
+    Concurrency.ProbeAfter = Now + ProbeBackoff;
     return;
   }
   if (ConcurrentLoads >= Concurrency.MaxLoads &&
--- a/policy/store_pace.h
+++ b/policy/store_pace.h
@@ -24,7 +24,7 @@
 inline constexpr double SlowLoadRatio = 1.15;
 /// Minimum time after a slowed load before the limit is raised again. Loads
 /// ordered by a previous leader may have slowed it.
-inline constexpr Millis ProbeInterval{30'000};
+inline constexpr Millis ProbeBackoff{30'000};
 
 struct StoreConcurrency {
   size_t MaxLoads = InitialStoreLoadLimit;
