--- a/bench/site.cpp
+++ b/bench/site.cpp
@@ -88,7 +88,7 @@
   void buildTable();
   void generateArrivals();
   void addSession(TimePoint At, int Organisation, double LoadFactor);
-  void accumulateIdleTime();
+  void addIdleTime();
   SimulationResult computeResult();
 
   SimulationOptions Options;
@@ -368,7 +368,7 @@
   schedule(Millis(500), [this] { reportEndpoints(); });
 }
 
-void Simulation::accumulateIdleTime() {
+void Simulation::addIdleTime() {
   double hours =
       std::chrono::duration<double, std::ratio<3600>>(TickPeriod).count();
   for (auto &[name, engine] : Engines)
@@ -384,7 +384,7 @@
     step(i, EntryTick{});
   for (auto &[name, agent] : Agents)
     step(name, AgentTick{});
-  accumulateIdleTime();
+  addIdleTime();
   schedule(TickPeriod, [this] { tick(); });
 }
 
