--- a/control/control_state.h
+++ b/control/control_state.h
@@ -55,8 +55,8 @@
   std::map<std::string, NodeInfo> Nodes;
   std::map<uint64_t, PendingProposal> Pending;
   std::set<std::string> PendingItems;
-  TokenBank Bank;
-  IdleState Idling;
+  TokenBuckets Bank;
+  ArrivalHistory Idling;
   uint64_t LedTerm = 0; ///< Term for which the soft state was set up.
   TimePoint LedSince;
   uint64_t FleetTimeBaseMs = 0;
--- a/control/leadership.cpp
+++ b/control/leadership.cpp
@@ -10,7 +10,7 @@
 /// A node that was silent for so long is forgotten.
 constexpr std::chrono::minutes NodeMemory{5};
 
-TenantRate rateOf(const ControlState &State, const std::string &Tenant) {
+OrganisationRate rateOf(const ControlState &State, const std::string &Tenant) {
   const wire::TableRow *row = findRow(State.Fleet.Items, Tenant);
   if (!row || row->kind() != wire::ROW_TENANT)
     return {};
@@ -19,7 +19,7 @@
 
 void takeReturn(ControlState &State, const wire::GrantReturn &Return,
                 TimePoint Now) {
-  TenantRate rate = rateOf(State, Return.tenant());
+  OrganisationRate rate = rateOf(State, Return.tenant());
   if (Return.grant() != 0) {
     returnGrant(State.Bank, Return.tenant(), Return.grant(), Return.unspent(),
                 rate, Now);
@@ -47,8 +47,8 @@
   wire::GrantReply &reply = *message.mutable_grant_reply();
   reply.set_number(request.number());
   for (const wire::TenantGrant &it : request.wanted()) {
-    auto grant = takeGrant(State.Bank, it.tenant(), rateOf(State, it.tenant()),
-                           {Message.from(), it.tokens(), it.least()}, Now);
+    auto grant = issueGrant(State.Bank, it.tenant(), rateOf(State, it.tenant()),
+                            {Message.from(), it.tokens(), it.least()}, Now);
     if (!grant)
       continue;
     wire::Grant &given = *reply.add_grants();
@@ -76,7 +76,7 @@
   State.FleetTimeBaseAt = Now;
   State.LoadTokens = 0;
   State.LoadTokensAt = Now;
-  openBank(State.Bank, Now);
+  resetBuckets(State.Bank, Now);
 }
 
 void receiveFromNode(ControlState &State, const wire::Envelope &Message,
--- a/entry/dispatch.cpp
+++ b/entry/dispatch.cpp
@@ -147,7 +147,7 @@
     return true;
   if (!spendTokens(State.Tokens, Request.Organisation, Request.Caller.Cost,
                    Now)) {
-    wishTokens(State.Tokens, Request.Organisation, Request.Caller.Cost);
+    addTokenDemand(State.Tokens, Request.Organisation, Request.Caller.Cost);
     return false;
   }
   Request.Charged = Request.Caller.Cost;
@@ -272,7 +272,7 @@
 }
 
 void dispatchRequests(EntryState &State, TimePoint Now, EntryEffects &Out) {
-  State.Tokens.Wishes.clear();
+  State.Tokens.PendingDemands.clear();
   for (int round = 0; round < MaxRounds; ++round) {
     std::vector<std::string> organisations = organisationsInRoundOrder(State);
     bool needsAnotherRound = false;
@@ -285,7 +285,7 @@
       return;
     // Only the wishes noted in the last round are sent.
     if (round + 1 < MaxRounds)
-      State.Tokens.Wishes.clear();
+      State.Tokens.PendingDemands.clear();
   }
 }
 
--- a/entry/entry_state.cpp
+++ b/entry/entry_state.cpp
@@ -25,7 +25,7 @@
   const wire::TableRow *row = findRow(State.View.Items, Organisation);
   if (!row)
     return std::numeric_limits<uint64_t>::max();
-  if (!State.Tokens.Short.contains(Organisation))
+  if (!State.Tokens.DepletedOrganisations.contains(Organisation))
     return row->burst();
   return heldTokens(State.Tokens, Organisation, Now) +
          row->rate() * static_cast<uint64_t>(TokenHorizon.count());
@@ -142,7 +142,7 @@
       State.View.NextHeartbeat = Now;
     break;
   case wire::Envelope::kGrantReply:
-    takeGrants(State.Tokens, Message.grant_reply());
+    acceptGrants(State.Tokens, Message.grant_reply());
     break;
   case wire::Envelope::kProposalReply:
     handleClaimReply(State, Message.proposal_reply(), Now, Out);
--- a/entry/responses.cpp
+++ b/entry/responses.cpp
@@ -474,8 +474,8 @@
   endAttempt(State, request);
   dequeue(State, request);
   if (request.Charged > UsedTokens)
-    returnCharge(State.Tokens, request.Organisation,
-                 request.Charged - UsedTokens, request.ChargedAt, Now);
+    queueRefund(State.Tokens, request.Organisation,
+                request.Charged - UsedTokens, request.ChargedAt, Now);
   State.Requests.erase(Id);
 }
 
--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -80,7 +80,7 @@
   out.Id = Known.Id;
   out.Zone = Known.Zone;
   out.Slots = Known.Slots;
-  out.IsSlow = !isPast(Known.SlowUntil, Now);
+  out.IsWarmingUp = !isPast(Known.SlowUntil, Now);
   if (!Request.Attributes.PromptHead.empty())
     out.Affinity =
         static_cast<double>(
@@ -323,12 +323,12 @@
 std::optional<wire::QuotaWish> requestTokens(LocalQuota &Quota,
                                              const FrontRequest &Request,
                                              bool IsFavoured, TimePoint Now) {
-  Quota.Wanting[Request.Number] = Request.Cost;
-  if (Quota.AskedAt != TimePoint())
+  Quota.WaitingCosts[Request.Number] = Request.Cost;
+  if (Quota.PoolRequestedAt != TimePoint())
     return std::nullopt;
-  Quota.AskedAt = Now;
+  Quota.PoolRequestedAt = Now;
   double wanted = 0;
-  for (const auto &[number, cost] : Quota.Wanting)
+  for (const auto &[number, cost] : Quota.WaitingCosts)
     wanted += cost;
   wire::QuotaWish out;
   out.set_organisation(Request.Organisation);
@@ -341,9 +341,10 @@
 /// Gives up a token request that the leader did not answer in time. The leader
 /// may be down, so none is sent to it for PoolBackoff.
 void expireQuotaRequest(FrontState &State, LocalQuota &Quota, TimePoint Now) {
-  if (Quota.AskedAt == TimePoint() || Now - Quota.AskedAt < PoolRequestTimeout)
+  if (Quota.PoolRequestedAt == TimePoint() ||
+      Now - Quota.PoolRequestedAt < PoolRequestTimeout)
     return;
-  Quota.AskedAt = TimePoint();
+  Quota.PoolRequestedAt = TimePoint();
   State.PoolUnavailableUntil = Now + PoolBackoff;
   logEvent(LogLevel::Warning, "quota_wish_unanswered",
            {{"leader", State.Leader.Node}});
@@ -365,21 +366,21 @@
   expireQuotaRequest(State, quota, Now);
   QuotaLimit limit = quotaLimitOf(State, *organisation, Now);
   size_t fronts = countFronts(State, Now);
-  QuotaClaim claim{Request.Cost, Request.Worth};
+  QuotaCharge claim{Request.Cost, Request.Worth};
   if (takeQuota(quota, limit, claim, fronts, Now)) {
     Request.IsCharged = true;
-    quota.Wanting.erase(Request.Number);
+    quota.WaitingCosts.erase(Request.Number);
     return std::nullopt;
   }
   Clock::duration maxWait =
       (Request.ObjectiveDeadline - Request.ArrivedAt) / QuotaWaitDivisor;
   TimePoint waitEnd = Request.ArrivedAt + maxWait;
-  Millis wait = waitForQuota(quota, limit, claim, fronts, Now);
+  Millis wait = estimateQuotaWait(quota, limit, claim, fronts, Now);
   if (limit.HasPool) {
     bool isPreferred = isFavoured(quota, claim);
-    TimePoint closedUntil =
-        isPreferred ? quota.PoolShutUntil
-                    : std::max(quota.PoolShutUntil, quota.PoolScarceUntil);
+    TimePoint closedUntil = isPreferred ? quota.PoolEmptyUntil
+                                        : std::max(quota.PoolEmptyUntil,
+                                                   quota.PoolFavouredOnlyUntil);
     if (isPast(closedUntil, Now) && !isPast(waitEnd, Now)) {
       TokenRequest = requestTokens(quota, Request, isPreferred, Now);
       return WaitUntil{std::min(waitEnd, Now + PoolRequestTimeout)};
@@ -387,7 +388,7 @@
     if (!isPast(closedUntil, Now))
       wait = std::min(wait, std::chrono::ceil<Millis>(closedUntil - Now));
   }
-  quota.Wanting.erase(Request.Number);
+  quota.WaitingCosts.erase(Request.Number);
   if (isPast(waitEnd, Now) || Now + wait > waitEnd) {
     logQuotaRefusal(Request, quota, fronts, wait, Now);
     return makeRefusal(State, RefusalReason::RateExceeded, wait);
@@ -539,7 +540,7 @@
   ++usage.Open;
   ++usage.OpenByEndpoint[Endpoint];
   ++Request.Sends;
-  noteSent(State.Records[Endpoint]);
+  recordSend(State.Records[Endpoint]);
 }
 
 void recordExchangeEnd(FrontState &State, const FrontRequest &Request,
@@ -550,7 +551,7 @@
   auto at = usage.OpenByEndpoint.find(Endpoint);
   if (at != usage.OpenByEndpoint.end() && --at->second == 0)
     usage.OpenByEndpoint.erase(at);
-  noteClosed(State.Records[Endpoint]);
+  recordClose(State.Records[Endpoint]);
 }
 
 void applyQuotaGrant(FrontState &State, const wire::QuotaGrant &Grant,
@@ -559,19 +560,19 @@
     return;
   State.PoolHeardAt = Now;
   LocalQuota &quota = State.Quotas[Grant.organisation()];
-  quota.AskedAt = TimePoint();
+  quota.PoolRequestedAt = TimePoint();
   if (Grant.granted() > 0) {
     quota.Level += Grant.granted();
     return;
   }
   TimePoint &closedUntil =
-      Grant.is_favoured() ? quota.PoolShutUntil : quota.PoolScarceUntil;
+      Grant.is_favoured() ? quota.PoolEmptyUntil : quota.PoolFavouredOnlyUntil;
   closedUntil = Now + Millis(Grant.wait_ms());
 }
 
 void removeWaitingRequest(FrontState &State, const FrontRequest &Request) {
   if (!Request.Organisation.empty())
-    State.Quotas[Request.Organisation].Wanting.erase(Request.Number);
+    State.Quotas[Request.Organisation].WaitingCosts.erase(Request.Number);
   removeWaiting(modelUsageOf(State, Request), Request);
 }
 
@@ -583,9 +584,9 @@
     return;
   logEvent(LogLevel::Info, "endpoint_paused",
            {{"endpoint", Endpoint},
-            {"failures_in_row", std::to_string(Record.FailuresInRow)},
+            {"failures_in_row", std::to_string(Record.ConsecutiveFailures)},
             {"failure_percent",
-             std::to_string(static_cast<int>(100 * Record.FailureShare))},
+             std::to_string(static_cast<int>(100 * Record.FailureRate))},
             {"for_ms", std::to_string(toMillis(Record.PausedUntil - Now))}});
 }
 
@@ -600,7 +601,7 @@
   if (Failure == ExchangeFailure::Rejected) {
     record.PausedUntil = std::max(record.PausedUntil, Now + RejectionPause);
   } else {
-    noteFailure(record, Failure == ExchangeFailure::Unreachable, Now);
+    recordFailure(record, Failure == ExchangeFailure::Unreachable, Now);
     logPause(Endpoint, record, Now);
     Request.FailedEndpoints.insert(Endpoint);
   }
--- a/front/fleet_view.cpp
+++ b/front/fleet_view.cpp
@@ -70,7 +70,7 @@
 void collectOwnDemand(FrontState &State, wire::NodeHeartbeat &Heartbeat,
                       TimePoint Now) {
   for (auto &[name, it] : State.Quotas) {
-    noteDemand(it, {}, Now);
+    recordDemand(it, {}, Now);
     if (it.DemandRate < 1)
       continue;
     wire::OrganisationDemand &demand = *Heartbeat.add_organisations();
@@ -109,9 +109,9 @@
     if (it.arrivals() == 0)
       continue;
     ArrivalRates &rates = Demand.Rates[it.model()];
-    addTo(rates.ShortArrivals, it.arrivals(), ShortSpan, Now);
-    addTo(rates.ShortWorth, it.worth(), ShortSpan, Now);
-    addTo(rates.LongWorth, it.worth(), LongSpan, Now);
+    addToRate(rates.ShortArrivals, it.arrivals(), ShortWindow, Now);
+    addToRate(rates.ShortWorth, it.worth(), ShortWindow, Now);
+    addToRate(rates.LongWorth, it.worth(), LongWindow, Now);
   }
 }
 
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -298,10 +298,10 @@
     row.Worth += request.Worth;
   }
   if (!request.Organisation.empty())
-    noteDemand(Core.State.Quotas[request.Organisation],
-               {request.Cost, request.Worth}, now);
-  noteRequest(Core.State.Retries[request.Service], Core.State.Limits.Retries,
-              countFronts(Core.State, now));
+    recordDemand(Core.State.Quotas[request.Organisation],
+                 {request.Cost, request.Worth}, now);
+  recordRequest(Core.State.Retries[request.Service], Core.State.Limits.Retries,
+                countFronts(Core.State, now));
   std::make_shared<Relay>(Core, std::move(request), std::move(Request),
                           Exchange)
       ->start();
@@ -444,8 +444,9 @@
     return;
   auto id = Core.State.Directory.IdByAddress.find(Report.address());
   if (id != Core.State.Directory.IdByAddress.end())
-    noteLoad(Core.State.Records[id->second], Report.active() + Report.queued(),
-             EngineReportLife, now);
+    recordLoadReport(Core.State.Records[id->second],
+                     Report.active() + Report.queued(), EngineReportLifetime,
+                     now);
   IsDispatchDue = true;
 }
 
@@ -604,7 +605,7 @@
 
 /// Dispatches only the requests that wait for tokens of \p Organisation.
 void FrontShell::dispatchWaitingForTokens(const std::string &Organisation) {
-  auto wanting = Core.State.Quotas[Organisation].Wanting;
+  auto wanting = Core.State.Quotas[Organisation].WaitingCosts;
   for (const auto &[number, cost] : wanting) {
     auto relay = Core.Relays.find(number);
     if (relay == Core.Relays.end())
--- a/front/leader_work.cpp
+++ b/front/leader_work.cpp
@@ -66,8 +66,8 @@
   std::map<std::string, ModelDemand> out;
   for (const auto &[model, rates] : Leader.Demand.Rates)
     out[model].WorthPerSecond =
-        std::max(readRate(rates.ShortWorth, ShortSpan, Now),
-                 readRate(rates.LongWorth, LongSpan, Now));
+        std::max(readRate(rates.ShortWorth, ShortWindow, Now),
+                 readRate(rates.LongWorth, LongWindow, Now));
   for (const auto &[front, report] : Leader.Demand.Fronts) {
     if (Now - report.HeardAt > DemandRetention)
       continue;
@@ -153,15 +153,15 @@
     return;
   auto taken =
       std::chrono::duration_cast<Millis>(Engine.ReadAt - Order.LoadStartedAt);
-  size_t before = Leader.StoreEstimate.Places;
-  noteStoreLoad(Leader.StoreEstimate, Order.ConcurrentStoreLoads,
-                spec->second.StoreLoad, taken, Now);
+  size_t before = Leader.StoreEstimate.MaxLoads;
+  recordStoreLoad(Leader.StoreEstimate, Order.ConcurrentStoreLoads,
+                  spec->second.StoreLoad, taken, Now);
   logEvent(LogLevel::Info, "store_load_done",
            {{"order", std::to_string(Order.Number)},
             {"model", Order.Model},
             {"taken_ms", std::to_string(taken.count())},
             {"together", std::to_string(Order.ConcurrentStoreLoads)},
-            {"places", std::to_string(Leader.StoreEstimate.Places)},
+            {"places", std::to_string(Leader.StoreEstimate.MaxLoads)},
             {"before", std::to_string(before)}});
 }
 
@@ -223,7 +223,8 @@
     PlanEngine plan;
     plan.Endpoint = id;
     plan.IsLeaving = !isUsable(known, Now) || engine->IsSilent;
-    plan.CanOrder = engine->IsFromAgent && !engine->IsBusy && !plan.IsLeaving;
+    plan.AcceptsOrders =
+        engine->IsFromAgent && !engine->IsBusy && !plan.IsLeaving;
     plan.LoadShare = static_cast<double>(engine->Active + engine->Queued) /
                      std::max<uint32_t>(known.Slots, 1);
     for (const auto &[model, adapters] : engine->Models) {
@@ -246,7 +247,7 @@
               Now + EvictionProtectionTime;
         Leader.Orders.erase(order);
       } else {
-        plan.CanOrder = false;
+        plan.AcceptsOrders = false;
         plan.Loading = order->second.Model;
         auto spec = Spec.Models.find(plan.Loading);
         if (spec != Spec.Models.end())
@@ -254,17 +255,17 @@
                         loadTime(plan, spec->second));
         for (const std::string &it : order->second.Evict)
           plan.Models.erase(it);
-        plan.BusyFor = timeUntilFree(order->second, Now);
+        plan.TimeUntilFree = timeUntilFree(order->second, Now);
         ++out.LoadsInProgress;
         out.StoreLoadsInProgress += order->second.IsFromStore;
       }
     } else if (!engine->Loading.empty()) {
       // A load that an earlier leader ordered.
-      plan.CanOrder = false;
+      plan.AcceptsOrders = false;
       plan.Loading = engine->Loading;
       auto spec = Spec.Models.find(plan.Loading);
       if (spec != Spec.Models.end())
-        plan.BusyFor =
+        plan.TimeUntilFree =
             timeLeft(engine->ReadAt + loadTime(plan, spec->second), Now);
       ++out.LoadsInProgress;
       out.StoreLoadsInProgress += !hasWeights(*engine, engine->Loading);
@@ -272,7 +273,7 @@
     for (const std::string &it : plan.Models)
       if (auto justLoaded = Leader.JustLoadedUntil.find({id, it});
           justLoaded != Leader.JustLoadedUntil.end())
-        plan.Fresh.insert(it);
+        plan.JustLoaded.insert(it);
     out.Engines.push_back(std::move(plan));
     out.Endpoints.push_back(&known);
     out.States.push_back(engine);
@@ -373,7 +374,7 @@
                     survey.LoadsInProgress,
                     survey.StoreLoadsInProgress,
                     mayUseStore ? static_cast<uint32_t>(Leader.StoreTokens) : 0,
-                    Leader.StoreEstimate.Places};
+                    Leader.StoreEstimate.MaxLoads};
     for (const PlannedLoad &it : planModels(input)) {
       if (it.IsFromStore)
         Leader.StoreTokens -= 1;
@@ -392,7 +393,7 @@
   for (const auto &[name, it] : State.Roster.Nodes)
     // A front that is out of view may still be using its last share.
     if (it.Entry.kind() == wire::NODE_FRONT &&
-        Now - it.HeardAt < NodeSilence + ShareLife)
+        Now - it.HeardAt < NodeSilence + ShareLifetime)
       fronts.push_back(name);
   std::map<std::string, wire::RateShares> shares;
   for (const OrganisationSpec &organisation : State.Table->Organisations) {
@@ -459,7 +460,7 @@
     return std::nullopt;
   bool isOverRate =
       totalDemandOf(Leader.Demand, found->Name, Now) > found->RatePerSecond;
-  PoolAnswer answer =
+  PoolGrant answer =
       drawFromPool(Leader.Pools[found->Name], quotaLimitOf(State, *found, Now),
                    {Request.wanted(), Request.least(), Request.is_favoured()},
                    isOverRate, Leader.LeaderSince, Now);
@@ -484,7 +485,7 @@
     queued += order.IsFromStore;
   return OrderLatency +
          Spec.StoreLoad *
-             static_cast<int64_t>(queued / Leader.StoreEstimate.Places + 1);
+             static_cast<int64_t>(queued / Leader.StoreEstimate.MaxLoads + 1);
 }
 
 /// Time until an engine that has the weights of \p Model can take an order to
--- a/front/leader_work.h
+++ b/front/leader_work.h
@@ -41,7 +41,7 @@
   std::map<std::pair<std::string, std::string>, TimePoint> JustLoadedUntil;
   uint64_t NextOrderNumber = 1;
   uint64_t NextSharesNumber = 1;
-  StorePace StoreEstimate;
+  StoreConcurrency StoreEstimate;
   double StoreTokens = 0; ///< Loads from the store that may start now.
   TimePoint StoreTokensFilledAt;
   TimePoint NextPlanAt;
--- a/front/relay.cpp
+++ b/front/relay.cpp
@@ -175,11 +175,12 @@
     return;
   }
   if (fields.Load)
-    noteLoad(Core.State.Records[Endpoint],
-             fields.Load->Running + fields.Load->Waiting,
-             findEngineSpec(Core.State, Request.Service) ? EngineReportLife
-                                                         : PlainReportLife,
-             now);
+    recordLoadReport(Core.State.Records[Endpoint],
+                     fields.Load->Running + fields.Load->Waiting,
+                     findEngineSpec(Core.State, Request.Service)
+                         ? EngineReportLifetime
+                         : PlainReportLifetime,
+                     now);
   HasHead = true;
   IsNotRun = fields.IsNotRun;
   bool isStreaming = Request.Route->Kind == RequestKind::Streaming &&
@@ -243,7 +244,7 @@
   Call.reset();
   recordExchangeEnd(Core.State, Request, Endpoint);
   if (IsStream) {
-    noteSuccess(Core.State.Records[Endpoint]);
+    recordSuccess(Core.State.Records[Endpoint]);
     Exchange->write(std::move(EventBuffer.Incomplete));
     Exchange->finish();
     observe("answer_seconds", now - Request.ArrivedAt);
@@ -270,7 +271,7 @@
     failExchange(ExchangeFailure::Error);
     return;
   }
-  noteSuccess(Core.State.Records[Endpoint]);
+  recordSuccess(Core.State.Records[Endpoint]);
   forwardResponse();
 }
 
--- a/tests/front/test_dispatch.cpp
+++ b/tests/front/test_dispatch.cpp
@@ -123,7 +123,7 @@
   auto first = decideDispatch(state, request, Start);
   CHECK(std::holds_alternative<WaitUntil>(first.Decision));
   CHECK(first.QuotaRequest);
-  state.Quotas["first"].AskedAt = TimePoint();
+  state.Quotas["first"].PoolRequestedAt = TimePoint();
   auto last = decideDispatch(state, request, Start + Millis(210));
   REQUIRE(refusalOf(last));
   CHECK(refusalOf(last)->Reason == RefusalReason::RateExceeded);
@@ -509,7 +509,7 @@
   // Arriving requests refill the budget.
   state.Limits.Retries.Slack = 10;
   for (int i = 0; i < 8; ++i)
-    noteRequest(state.Retries["chat"], state.Limits.Retries, 1);
+    recordRequest(state.Retries["chat"], state.Limits.Retries, 1);
   CHECK(std::holds_alternative<SendTo>(
       decideDispatch(state, request, now).Decision));
   CHECK_FALSE(request.NeedsRetryToken);
@@ -551,8 +551,8 @@
 }
 
 TEST_CASE("stream is split at event boundaries for any division into chunks") {
-  const std::string whole = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n"
-                            "data: no id\n\nid: 7\ndata: c\n\n";
+  const std::string whole = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: "
+                            "no id\n\nid: 7\ndata: c\n\n";
   for (size_t step = 1; step < whole.size(); ++step) {
     SseBuffer buffer;
     std::string out;
--- a/tests/front/test_leader_work.cpp
+++ b/tests/front/test_leader_work.cpp
@@ -134,7 +134,8 @@
   // The wait for an engine that does not report its weights is bounded.
   now = Start + Millis(2'600);
   fixture.reportEngine("old", false, now);
-  addTo(fixture.Leader.Demand.Rates["new"].ShortWorth, 50, ShortSpan, now);
+  addToRate(fixture.Leader.Demand.Rates["new"].ShortWorth, 50, ShortWindow,
+            now);
   CHECK(fixture.readyAt(now, 10) >= now + StoreLoad);
   CHECK(fixture.Leader.Orders.size() == 1);
 }
@@ -168,7 +169,7 @@
   fixture.reportEngine("old", true, Start + Millis(100));
   fixture.Loading.clear();
   fixture.reportEngine("", false, Start + Millis(100), "i-2", "10.0.0.2:7");
-  noteArrival(fixture.Leader.Demand.Rates["new"], 10, Start + Millis(1'000));
+  recordArrival(fixture.Leader.Demand.Rates["new"], 10, Start + Millis(1'000));
   // The other engine is free, but the model is already being loaded.
   TimePoint readyAt = fixture.readyAt(Start + Millis(1'000));
   CHECK(fixture.Leader.Orders.empty());
@@ -218,7 +219,8 @@
     row.set_waiting(1);
     row.set_waiting_worth(20);
     recordUnservedDemand(fixture.Leader, "front", row, Now);
-    addTo(fixture.Leader.Demand.Rates["old"].ShortWorth, 50, ShortSpan, Now);
+    addToRate(fixture.Leader.Demand.Rates["old"].ShortWorth, 50, ShortWindow,
+              Now);
     NodeMessages out;
     planPlacement(fixture.Leader, fixture.State, Now, out);
     return fixture.Leader.Orders.size();
