--- a/control/serving_group.cpp
+++ b/control/serving_group.cpp
@@ -39,7 +39,7 @@
   bool perform(StoreEffect &Effect);
   void failDisk();
   void answerUnavailable(const StoreEvent &Event);
-  void tell(StoreAnswer Answer);
+  void tell(StoreResult Answer);
   void publish(StorePublish Table);
   void publishView();
 
@@ -119,7 +119,7 @@
     return false;
   if (auto *message = std::get_if<RaftSend>(&Effect))
     Peers.send(message->Address, std::move(message->Message));
-  else if (auto *answer = std::get_if<StoreAnswer>(&Effect))
+  else if (auto *answer = std::get_if<StoreResult>(&Effect))
     tell(std::move(*answer));
   else if (auto *table = std::get_if<StorePublish>(&Effect))
     publish(std::move(*table));
@@ -164,7 +164,7 @@
   publishView();
 }
 
-void ServingGroup::Impl::tell(StoreAnswer Answer) {
+void ServingGroup::Impl::tell(StoreResult Answer) {
   boost::asio::post(
       Io, [self = shared_from_this(), answer = std::move(Answer)]() mutable {
         if (!self->IsClosed)
--- a/control/serving_store.cpp
+++ b/control/serving_store.cpp
@@ -31,7 +31,7 @@
     if (it.Index > Store.Applied)
       return false;
     Out.push_back(
-        StoreAnswer{it.Number, StoreOutcome::Done, Store.Table.version(), {}});
+        StoreResult{it.Number, StoreOutcome::Done, Store.Table.version(), {}});
     return true;
   });
 }
@@ -109,7 +109,7 @@
 void write(ServingStore &Store, const StoreWrite &Write, TimePoint Now,
            RaftEffects &Raft, StoreEffects &Out) {
   if (!canPropose(Store.Raft, Now) || Store.IsStopping) {
-    Out.push_back(StoreAnswer{Write.Number, whyNot(Store), 0, {}});
+    Out.push_back(StoreResult{Write.Number, whyNot(Store), 0, {}});
     return;
   }
   auto [version, index] = newestTable(Store);
@@ -129,10 +129,10 @@
           StoreEffects &Out) {
   bool isSure = canPropose(Store.Raft, Now) && Store.Table.version() > 0;
   if (isSure)
-    Out.push_back(StoreAnswer{Read.Number, StoreOutcome::Done,
+    Out.push_back(StoreResult{Read.Number, StoreOutcome::Done,
                               Store.Table.version(), Store.Table.content()});
   else
-    Out.push_back(StoreAnswer{Read.Number, whyNot(Store), 0, {}});
+    Out.push_back(StoreResult{Read.Number, whyNot(Store), 0, {}});
 }
 
 void answerStatus(const ServingStore &Store, const StoreStatus &Status,
@@ -152,7 +152,7 @@
   if (Store.Raft.Role == RaftRole::Leader)
     return;
   for (const PendingWrite &it : Store.Pending)
-    Out.push_back(StoreAnswer{it.Number, StoreOutcome::Unavailable, 0, {}});
+    Out.push_back(StoreResult{it.Number, StoreOutcome::Unavailable, 0, {}});
   Store.Pending.clear();
 }
 
--- a/control/serving_store.h
+++ b/control/serving_store.h
@@ -69,7 +69,7 @@
 
 enum class StoreOutcome { Done, NotLeader, Unavailable };
 
-struct StoreAnswer {
+struct StoreResult {
   uint64_t Number = 0;
   StoreOutcome Outcome = StoreOutcome::Unavailable;
   uint64_t Version = 0;
@@ -81,7 +81,7 @@
   std::string Content;
 };
 using StoreEffect = std::variant<PersistRecord, PersistSnapshot, RaftSend,
-                                 StoreAnswer, StorePublish>;
+                                 StoreResult, StorePublish>;
 using StoreEffects = std::vector<StoreEffect>;
 
 /// What other parts of the process need to know of the group.
--- a/front/fleet_api.cpp
+++ b/front/fleet_api.cpp
@@ -125,7 +125,7 @@
   group->post(StoreRead{number});
 }
 
-void FleetApi::handleStoreAnswer(const StoreAnswer &Answer) {
+void FleetApi::handleStoreAnswer(const StoreResult &Answer) {
   auto found = PendingCalls.find(Answer.Number);
   if (found == PendingCalls.end())
     return;
--- a/front/fleet_api.h
+++ b/front/fleet_api.h
@@ -34,7 +34,7 @@
   void handleCall(const HttpRequest &Request,
                   const std::shared_ptr<HttpExchange> &Exchange);
   /// Completes the request that \p Answer belongs to, if it is still pending.
-  void handleStoreAnswer(const StoreAnswer &Answer);
+  void handleStoreAnswer(const StoreResult &Answer);
 
 private:
   /// A request that waits for the serving group.
--- a/tests/control/test_serving_store.cpp
+++ b/tests/control/test_serving_store.cpp
@@ -95,7 +95,7 @@
         return;
       Queue.emplace(Now + Millis(1 + Random() % 12),
                     std::pair{message->Address, message->Message});
-    } else if (auto *answer = std::get_if<StoreAnswer>(&Effect)) {
+    } else if (auto *answer = std::get_if<StoreResult>(&Effect)) {
       Answers[answer->Number] = *answer;
     } else if (auto *table = std::get_if<StorePublish>(&Effect)) {
       CHECK(table->Version > Published[Name]);
@@ -142,7 +142,7 @@
     return false;
   }
 
-  StoreAnswer read(const std::string &From) {
+  StoreResult read(const std::string &From) {
     uint64_t number = ++LastNumber;
     take(From, StoreRead{number});
     return Answers[number];
@@ -153,7 +153,7 @@
   std::vector<std::string> Seeds{"a", "b", "c"};
   std::map<std::string, Member> Members;
   std::multimap<TimePoint, std::pair<std::string, wire::Envelope>> Queue;
-  std::map<uint64_t, StoreAnswer> Answers;
+  std::map<uint64_t, StoreResult> Answers;
   std::map<std::string, uint64_t> Published;
   std::set<std::string> Cut;
   unsigned LossPercent = 0;
@@ -223,7 +223,7 @@
       group.run(Millis(7'000));
       std::string leader = group.leader();
       REQUIRE_FALSE(leader.empty());
-      StoreAnswer answer = group.read(leader);
+      StoreResult answer = group.read(leader);
       REQUIRE(answer.Outcome == StoreOutcome::Done);
       CHECK(answer.Version == version);
       CHECK(answer.Content == "t" + std::to_string(version));
