--- a/control/serving_group.cpp
+++ b/control/serving_group.cpp
@@ -168,7 +168,7 @@
   boost::asio::post(
       Io, [self = shared_from_this(), answer = std::move(Answer)]() mutable {
         if (!self->IsClosed)
-          self->Calls.OnAnswer(std::move(answer));
+          self->Calls.OnResult(std::move(answer));
       });
 }
 
--- a/control/serving_group.h
+++ b/control/serving_group.h
@@ -32,7 +32,7 @@
 /// Called on the context's thread.
 struct ServingGroupCalls {
   std::function<void(StorePublish)> OnPublish;
-  std::function<void(StoreResult)> OnAnswer;
+  std::function<void(StoreResult)> OnResult;
   std::function<void(StoreView)> OnView;
 };
 
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -229,7 +229,7 @@
   calls.OnPublish = [this](const StorePublish &Table) {
     applyTable(Table.Version, Table.Content);
   };
-  calls.OnAnswer = [this](const StoreResult &Answer) {
+  calls.OnResult = [this](const StoreResult &Answer) {
     Api->handleStoreAnswer(Answer);
   };
   calls.OnView = [this](const StoreView &NewView) { applyView(NewView); };
