--- a/control/serving_group.cpp
+++ b/control/serving_group.cpp
@@ -131,7 +131,7 @@
     tell({put->Number, StoreOutcome::Unavailable, 0, {}});
   else if (auto *get = std::get_if<StoreRead>(&Event))
     tell({get->Number, StoreOutcome::Unavailable, 0, {}});
-  else if (auto *status = std::get_if<StoreStatus>(&Event)) {
+  else if (auto *status = std::get_if<StoreStatusRequest>(&Event)) {
     wire::Envelope answer;
     *answer.mutable_status_reply() = status->Reply;
     answer.mutable_status_reply()->set_waits_for("its data folder: " +
--- a/control/serving_store.cpp
+++ b/control/serving_store.cpp
@@ -135,7 +135,7 @@
     Out.push_back(StoreResult{Read.Number, whyNot(Store), 0, {}});
 }
 
-void answerStatus(const ServingStore &Store, const StoreStatus &Status,
+void answerStatus(const ServingStore &Store, const StoreStatusRequest &Status,
                   TimePoint Now, StoreEffects &Out) {
   RaftSend effect;
   effect.Address = Status.Address;
@@ -174,7 +174,7 @@
     read(Store, *get, Now, Out);
   } else if (auto *greet = std::get_if<StoreGreet>(&Event)) {
     Store.Raft.GreetAddresses = greet->Addresses;
-  } else if (auto *status = std::get_if<StoreStatus>(&Event)) {
+  } else if (auto *status = std::get_if<StoreStatusRequest>(&Event)) {
     answerStatus(Store, *status, Now, Out);
   } else if (std::holds_alternative<StoreStop>(Event)) {
     Store.IsStopping = true;
--- a/control/serving_store.h
+++ b/control/serving_store.h
@@ -60,12 +60,12 @@
 };
 struct StoreStop {};
 /// An operator asks; the group's part of \p Reply is filled in.
-struct StoreStatus {
+struct StoreStatusRequest {
   std::string Address; ///< Inner address of who asks.
   wire::StatusReply Reply;
 };
 using StoreEvent = std::variant<StoreTick, StoreReceived, StoreWrite, StoreRead,
-                                StoreGreet, StoreStop, StoreStatus>;
+                                StoreGreet, StoreStop, StoreStatusRequest>;
 
 enum class StoreOutcome { Done, NotLeader, Unavailable };
 
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -455,7 +455,7 @@
   reply.set_request_id(Message.status_request().request_id());
   fillFrontStatus(Core.State, Clock::now(), reply);
   if (Group) {
-    Group->post(StoreStatus{Message.reply_address(), std::move(reply)});
+    Group->post(StoreStatusRequest{Message.reply_address(), std::move(reply)});
     return;
   }
   reply.set_leader_address(Core.State.Leader.Address);
