--- a/control/serving_group.cpp
+++ b/control/serving_group.cpp
@@ -143,7 +143,7 @@
 void ServingGroup::Impl::step(const StoreEvent &Event) {
   if (IsClosed)
     return;
-  if (auto *greet = std::get_if<StoreGreet>(&Event))
+  if (auto *greet = std::get_if<StoreJoinAddresses>(&Event))
     Greet = greet->Addresses;
   if (!Store && !open()) {
     answerUnavailable(Event);
--- a/control/serving_store.cpp
+++ b/control/serving_store.cpp
@@ -172,7 +172,7 @@
     write(Store, *put, Now, Raft, Out);
   } else if (auto *get = std::get_if<StoreRead>(&Event)) {
     read(Store, *get, Now, Out);
-  } else if (auto *greet = std::get_if<StoreGreet>(&Event)) {
+  } else if (auto *greet = std::get_if<StoreJoinAddresses>(&Event)) {
     Store.Raft.GreetAddresses = greet->Addresses;
   } else if (auto *status = std::get_if<StoreStatusRequest>(&Event)) {
     answerStatus(Store, *status, Now, Out);
--- a/control/serving_store.h
+++ b/control/serving_store.h
@@ -55,7 +55,7 @@
   uint64_t Number = 0;
 };
 /// Other nodes that may know the leader.
-struct StoreGreet {
+struct StoreJoinAddresses {
   std::vector<std::string> Addresses;
 };
 struct StoreStop {};
@@ -64,8 +64,9 @@
   std::string Address; ///< Inner address of who asks.
   wire::StatusReply Reply;
 };
-using StoreEvent = std::variant<StoreTick, StoreReceived, StoreWrite, StoreRead,
-                                StoreGreet, StoreStop, StoreStatusRequest>;
+using StoreEvent =
+    std::variant<StoreTick, StoreReceived, StoreWrite, StoreRead,
+                 StoreJoinAddresses, StoreStop, StoreStatusRequest>;
 
 enum class StoreOutcome { Done, NotLeader, Unavailable };
 
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -641,7 +641,7 @@
   for (const auto &[name, it] : Core.State.Roster.Nodes)
     if (it.Entry.is_voter())
       addresses.push_back(it.Entry.address());
-  Group->post(StoreGreet{std::move(addresses)});
+  Group->post(StoreJoinAddresses{std::move(addresses)});
 }
 
 void FrontShell::logStatistics(TimePoint Now) {
