--- a/control/serving_group.cpp
+++ b/control/serving_group.cpp
@@ -30,7 +30,8 @@
 
 struct ServingGroup::Impl : std::enable_shared_from_this<ServingGroup::Impl> {
   Impl(boost::asio::io_context &Io, caf::actor_system &System, Link &Peers,
-       Metrics &Counts, ServingGroupOptions Options, ServingGroupCalls Calls)
+       Metrics &Counts, ServingGroupOptions Options,
+       ServingGroupCallbacks Calls)
       : Io(Io), System(System), Peers(Peers), Counts(Counts),
         Options(std::move(Options)), Calls(std::move(Calls)) {}
 
@@ -48,7 +49,7 @@
   Link &Peers;
   Metrics &Counts;
   ServingGroupOptions Options;
-  ServingGroupCalls Calls;
+  ServingGroupCallbacks Calls;
   caf::actor Role;
   std::atomic<bool> IsClosed{false};
   // Touched by the actor only.
@@ -200,7 +201,7 @@
 ServingGroup::ServingGroup(boost::asio::io_context &Io,
                            caf::actor_system &System, Link &Peers,
                            Metrics &Counts, ServingGroupOptions Options,
-                           ServingGroupCalls Calls)
+                           ServingGroupCallbacks Calls)
     : Data(std::make_shared<Impl>(Io, System, Peers, Counts, std::move(Options),
                                   std::move(Calls))) {}
 
--- a/control/serving_group.h
+++ b/control/serving_group.h
@@ -30,7 +30,7 @@
 };
 
 /// Called on the context's thread.
-struct ServingGroupCalls {
+struct ServingGroupCallbacks {
   std::function<void(StorePublish)> OnPublish;
   std::function<void(StoreResult)> OnResult;
   std::function<void(StoreView)> OnView;
@@ -42,7 +42,7 @@
 public:
   ServingGroup(boost::asio::io_context &Io, caf::actor_system &System,
                Link &Peers, Metrics &Counts, ServingGroupOptions Options,
-               ServingGroupCalls Calls);
+               ServingGroupCallbacks Calls);
   ~ServingGroup();
   ServingGroup(const ServingGroup &) = delete;
   ServingGroup &operator=(const ServingGroup &) = delete;
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -225,7 +225,7 @@
   options.DataFolder = Options.FrontRole.DataFolder;
   options.Seeds = Gossip.Seeds;
   options.MayForm = Options.FrontRole.MayForm;
-  ServingGroupCalls calls;
+  ServingGroupCallbacks calls;
   calls.OnPublish = [this](const StorePublish &Table) {
     applyTable(Table.Version, Table.Content);
   };
