--- a/control/serving_group.cpp
+++ b/control/serving_group.cpp
@@ -16,9 +16,9 @@
 
 namespace {
 
-constexpr Millis TickPeriod{40};
-/// After a failure the folder is opened again this much later.
-constexpr Millis ReopenPause{1'000};
+constexpr Millis TickInterval{40};
+/// Delay after a disk failure before the data folder is opened again.
+constexpr Millis ReopenDelay{1'000};
 
 bool isEqual(const StoreView &A, const StoreView &B) {
   return A.IsLeader == B.IsLeader && A.Term == B.Term &&
@@ -31,17 +31,17 @@
 struct ServingGroup::Impl : std::enable_shared_from_this<ServingGroup::Impl> {
   Impl(boost::asio::io_context &Io, caf::actor_system &System, Link &Peers,
        Metrics &Counts, ServingGroupOptions Options,
-       ServingGroupCallbacks Calls)
+       ServingGroupCallbacks Callbacks)
       : Io(Io), System(System), Peers(Peers), Counts(Counts),
-        Options(std::move(Options)), Calls(std::move(Calls)) {}
-
-  void step(const StoreEvent &Event);
-  bool open();
-  bool perform(StoreEffect &Effect);
-  void failDisk();
-  void answerUnavailable(const StoreEvent &Event);
-  void tell(StoreResult Answer);
-  void publish(StorePublish Table);
+        Options(std::move(Options)), Callbacks(std::move(Callbacks)) {}
+
+  void handleEvent(const StoreEvent &Event);
+  bool openStore();
+  bool applyEffect(StoreEffect &Effect);
+  void handleDiskFailure();
+  void reportUnavailable(const StoreEvent &Event);
+  void postResult(StoreResult Result);
+  void publishTable(StorePublish Table);
   void publishView();
 
   boost::asio::io_context &Io;
@@ -49,22 +49,22 @@
   Link &Peers;
   Metrics &Counts;
   ServingGroupOptions Options;
-  ServingGroupCallbacks Calls;
+  ServingGroupCallbacks Callbacks;
   caf::actor Role;
   std::atomic<bool> IsClosed{false};
-  // Touched by the actor only.
+  // Used by the actor only.
   std::unique_ptr<DiskLog> Disk;
   std::optional<ServingStore> Store;
-  std::vector<std::string> Greet;
-  TimePoint NextOpen;
+  std::vector<std::string> JoinAddresses;
+  TimePoint NextOpenAttempt;
   StoreView LastView;
 };
 
-bool ServingGroup::Impl::open() {
+bool ServingGroup::Impl::openStore() {
   TimePoint now = Clock::now();
-  if (!isPast(NextOpen, now))
+  if (!isPast(NextOpenAttempt, now))
     return false;
-  NextOpen = now + ReopenPause;
+  NextOpenAttempt = now + ReopenDelay;
   Disk = std::make_unique<DiskLog>(Options.DataFolder);
   DiskProblem problem;
   auto content = Disk->open(problem);
@@ -85,11 +85,11 @@
                         drawIdentity(), now);
   raft.MayForm = Options.MayForm;
   raft.MayJoin = true;
-  if (!Greet.empty())
-    raft.GreetAddresses = Greet;
+  if (!JoinAddresses.empty())
+    raft.GreetAddresses = JoinAddresses;
   logEvent(LogLevel::Info, "folder_read",
            {{"blank", content->IsBlank ? "yes" : "no"},
-            {"cut_bytes", std::to_string(content->TornBytes)},
+            {"truncated_bytes", std::to_string(content->TornBytes)},
             {"last_index", std::to_string(lastIndex(raft))},
             {"commit", std::to_string(raft.Commit)}});
   Store = makeServingStore(std::move(raft),
@@ -97,92 +97,94 @@
   return true;
 }
 
-/// Nothing was promised that is not on the disk: the member just falls
-/// silent, and its peers go on without it.
-void ServingGroup::Impl::failDisk() {
+/// Fails the pending writes and closes the data folder. Everything acknowledged
+/// is on the disk, so the member can stop taking part in the group; its peers
+/// continue without it.
+void ServingGroup::Impl::handleDiskFailure() {
   Counts.count("disk_failures_total");
   logEvent(LogLevel::Error, "disk_failed",
            {{"file", Disk->lastProblem().File},
             {"reason", Disk->lastProblem().Reason}});
   for (const PendingWrite &it : Store->Pending)
-    tell({it.Number, StoreOutcome::Unavailable, 0, {}});
+    postResult({it.Number, StoreOutcome::Unavailable, 0, {}});
   Store.reset();
   Disk.reset();
-  NextOpen = Clock::now() + ReopenPause;
+  NextOpenAttempt = Clock::now() + ReopenDelay;
 }
 
-bool ServingGroup::Impl::perform(StoreEffect &Effect) {
+bool ServingGroup::Impl::applyEffect(StoreEffect &Effect) {
   if (auto *record = std::get_if<PersistRecord>(&Effect))
     return Disk->append(record->Record);
-  if (auto *whole = std::get_if<PersistSnapshot>(&Effect))
-    return Disk->replace(whole->Snapshot, whole->HardState, whole->Entries);
+  if (auto *snapshot = std::get_if<PersistSnapshot>(&Effect))
+    return Disk->replace(snapshot->Snapshot, snapshot->HardState,
+                         snapshot->Entries);
   if (!Disk->sync())
     return false;
   if (auto *message = std::get_if<RaftSend>(&Effect))
     Peers.send(message->Address, std::move(message->Message));
-  else if (auto *answer = std::get_if<StoreResult>(&Effect))
-    tell(std::move(*answer));
+  else if (auto *result = std::get_if<StoreResult>(&Effect))
+    postResult(std::move(*result));
   else if (auto *table = std::get_if<StorePublish>(&Effect))
-    publish(std::move(*table));
+    publishTable(std::move(*table));
   return true;
 }
 
-void ServingGroup::Impl::answerUnavailable(const StoreEvent &Event) {
-  if (auto *put = std::get_if<StoreWrite>(&Event))
-    tell({put->Number, StoreOutcome::Unavailable, 0, {}});
-  else if (auto *get = std::get_if<StoreRead>(&Event))
-    tell({get->Number, StoreOutcome::Unavailable, 0, {}});
+void ServingGroup::Impl::reportUnavailable(const StoreEvent &Event) {
+  if (auto *write = std::get_if<StoreWrite>(&Event))
+    postResult({write->Number, StoreOutcome::Unavailable, 0, {}});
+  else if (auto *read = std::get_if<StoreRead>(&Event))
+    postResult({read->Number, StoreOutcome::Unavailable, 0, {}});
   else if (auto *status = std::get_if<StoreStatusRequest>(&Event)) {
-    wire::Envelope answer;
-    *answer.mutable_status_reply() = status->Reply;
-    answer.mutable_status_reply()->set_waits_for("its data folder: " +
-                                                 Options.DataFolder);
-    Peers.send(status->Address, std::move(answer));
+    wire::Envelope envelope;
+    *envelope.mutable_status_reply() = status->Reply;
+    envelope.mutable_status_reply()->set_waits_for(
+        "access to its data folder: " + Options.DataFolder);
+    Peers.send(status->Address, std::move(envelope));
   }
 }
 
-void ServingGroup::Impl::step(const StoreEvent &Event) {
+void ServingGroup::Impl::handleEvent(const StoreEvent &Event) {
   if (IsClosed)
     return;
-  if (auto *greet = std::get_if<StoreJoinAddresses>(&Event))
-    Greet = greet->Addresses;
-  if (!Store && !open()) {
-    answerUnavailable(Event);
+  if (auto *join = std::get_if<StoreJoinAddresses>(&Event))
+    JoinAddresses = join->Addresses;
+  if (!Store && !openStore()) {
+    reportUnavailable(Event);
     publishView();
     return;
   }
-  // The time is read at use: a process that was stopped for a while finds
-  // its leases ended.
+  // The clock is read here, not when the event was queued, so that a process
+  // that was paused finds its leases expired.
   StoreEffects effects = stepServingStore(*Store, Event, Clock::now());
   for (StoreEffect &it : effects)
-    if (!perform(it)) {
-      failDisk();
+    if (!applyEffect(it)) {
+      handleDiskFailure();
       publishView();
       return;
     }
   if (!Disk->sync())
-    failDisk();
+    handleDiskFailure();
   publishView();
 }
 
-void ServingGroup::Impl::tell(StoreResult Answer) {
+void ServingGroup::Impl::postResult(StoreResult Result) {
   boost::asio::post(
-      Io, [self = shared_from_this(), answer = std::move(Answer)]() mutable {
+      Io, [self = shared_from_this(), result = std::move(Result)]() mutable {
         if (!self->IsClosed)
-          self->Calls.OnResult(std::move(answer));
+          self->Callbacks.OnResult(std::move(result));
       });
 }
 
-void ServingGroup::Impl::publish(StorePublish Table) {
+void ServingGroup::Impl::publishTable(StorePublish Table) {
   boost::asio::post(
       Io, [self = shared_from_this(), table = std::move(Table)]() mutable {
         if (!self->IsClosed)
-          self->Calls.OnPublish(std::move(table));
+          self->Callbacks.OnPublish(std::move(table));
       });
 }
 
 void ServingGroup::Impl::publishView() {
-  StoreView view = Store ? viewOf(*Store, Clock::now()) : StoreView();
+  StoreView view = Store ? makeStoreView(*Store, Clock::now()) : StoreView();
   if (isEqual(view, LastView))
     return;
   LastView = view;
@@ -194,25 +196,24 @@
             {"members", std::to_string(view.Members)}});
   boost::asio::post(Io, [self = shared_from_this(), view] {
     if (!self->IsClosed)
-      self->Calls.OnView(view);
+      self->Callbacks.OnView(view);
   });
 }
 
 ServingGroup::ServingGroup(boost::asio::io_context &Io,
                            caf::actor_system &System, Link &Peers,
                            Metrics &Counts, ServingGroupOptions Options,
-                           ServingGroupCallbacks Calls)
+                           ServingGroupCallbacks Callbacks)
     : Data(std::make_shared<Impl>(Io, System, Peers, Counts, std::move(Options),
-                                  std::move(Calls))) {}
+                                  std::move(Callbacks))) {}
 
 ServingGroup::~ServingGroup() { close(); }
 
 void ServingGroup::start() {
-  std::function<void(StoreEvent &)> step = [data = Data](StoreEvent &it) {
-    data->step(it);
-  };
-  Data->Role = Data->System.spawn(makeRoleBehavior<StoreEvent>, step,
-                                  StoreEvent(StoreTick{}), TickPeriod);
+  std::function<void(StoreEvent &)> handleEvent =
+      [data = Data](StoreEvent &it) { data->handleEvent(it); };
+  Data->Role = Data->System.spawn(makeRoleBehavior<StoreEvent>, handleEvent,
+                                  StoreEvent(StoreTick{}), TickInterval);
 }
 
 void ServingGroup::post(StoreEvent Event) {
@@ -222,7 +223,8 @@
 void ServingGroup::close() {
   if (Data->IsClosed.exchange(true) || !Data->Role)
     return;
-  // The actor holds the member and would keep the process alive.
+  // The actor holds a reference to the member and would keep the process
+  // running.
   caf::anon_send_exit(Data->Role, caf::exit_reason::user_shutdown);
   Data->Role = nullptr;
 }
--- a/control/serving_group.h
+++ b/control/serving_group.h
@@ -1,6 +1,7 @@
 /// \file
-/// Runs one member of the serving table's group: its decisions on an actor
-/// of their own, so that a slow or hanging disk holds up nothing else.
+/// Runs one member of the group that replicates the serving table. Its state
+/// machine runs on an actor of its own, so that a slow or hanging disk blocks
+/// nothing else in the process.
 #ifndef SASSAFRAS_CONTROL_SERVING_GROUP_H
 #define SASSAFRAS_CONTROL_SERVING_GROUP_H
 
@@ -25,32 +26,35 @@
 struct ServingGroupOptions {
   std::string Node;
   std::string DataFolder;
-  std::vector<std::string> Seeds; ///< Inner addresses.
-  bool MayForm = false;           ///< The fleet starts for the first time.
+  std::vector<std::string> Seeds; ///< Link addresses of the seed members.
+  bool MayForm = false; ///< May form a new group; first start of a fleet only.
 };
 
-/// Called on the context's thread.
+/// Called on the io_context's thread. Pending calls are dropped after close.
 struct ServingGroupCallbacks {
-  std::function<void(StorePublish)> OnPublish;
+  std::function<void(StorePublish)> OnPublish; ///< A newer table is committed.
   std::function<void(StoreResult)> OnResult;
-  std::function<void(StoreView)> OnView;
+  std::function<void(StoreView)> OnView; ///< The view has changed.
 };
 
-/// All methods are thread safe. A member whose disk fails falls silent and
-/// tries to open its folder again; the process goes on without it.
+/// All methods are thread safe. After a disk failure the member stops taking
+/// part in the group and periodically tries to reopen its data folder; the rest
+/// of the process continues without it.
 class ServingGroup {
 public:
   ServingGroup(boost::asio::io_context &Io, caf::actor_system &System,
                Link &Peers, Metrics &Counts, ServingGroupOptions Options,
-               ServingGroupCallbacks Calls);
+               ServingGroupCallbacks Callbacks);
   ~ServingGroup();
   ServingGroup(const ServingGroup &) = delete;
   ServingGroup &operator=(const ServingGroup &) = delete;
 
-  /// Call once, after the link was started.
+  /// Starts the actor. Call once, after the link has been started.
   void start();
+  /// Queues an event. Results of StoreWrite and StoreRead come through
+  /// OnResult; they are Unavailable while the data folder cannot be used.
   void post(StoreEvent Event);
-  /// Ends the actor. Call before the link is closed.
+  /// Stops the actor. Call before the link is closed.
   void close();
 
 private:
--- a/control/serving_store.cpp
+++ b/control/serving_store.cpp
@@ -18,15 +18,16 @@
     Store.Table = Change;
 }
 
-/// Only the newest of several tables that were committed together.
-void publishNewest(ServingStore &Store, StoreEffects &Out) {
+/// Publishes the newest of the tables committed so far. Older ones that were
+/// committed together with it are skipped.
+void publishNewestTable(ServingStore &Store, StoreEffects &Out) {
   if (Store.Published == Store.Table.version())
     return;
   Store.Published = Store.Table.version();
   Out.push_back(StorePublish{Store.Published, Store.Table.content()});
 }
 
-void answerWrites(ServingStore &Store, StoreEffects &Out) {
+void completeWrites(ServingStore &Store, StoreEffects &Out) {
   std::erase_if(Store.Pending, [&](const PendingWrite &it) {
     if (it.Index > Store.Applied)
       return false;
@@ -45,17 +46,18 @@
     if (command.has_serving_table())
       applyTable(Store, command.serving_table());
   }
-  publishNewest(Store, Out);
+  publishNewestTable(Store, Out);
   if (Store.Applied == before)
     return;
-  // After a restart the table can be served before a leader is known.
+  // The commit index is persisted so that, after a restart, the table can be
+  // served before a leader is known.
   PersistRecord record;
   wire::HardState &state = *record.Record.mutable_hard_state();
   state.set_term(Store.Raft.Term);
   state.set_voted_for(Store.Raft.VotedFor);
   state.set_commit(Store.Raft.Commit);
   Out.push_back(std::move(record));
-  answerWrites(Store, Out);
+  completeWrites(Store, Out);
 }
 
 void sendSnapshot(const ServingStore &Store, const wire::Member &Target,
@@ -71,8 +73,8 @@
   Out.push_back(std::move(effect));
 }
 
-void takeRaftEffects(ServingStore &Store, RaftEffects &Effects,
-                     StoreEffects &Out) {
+void handleRaftEffects(ServingStore &Store, RaftEffects &Effects,
+                       StoreEffects &Out) {
   for (RaftEffect &it : Effects) {
     if (auto *record = std::get_if<PersistRecord>(&it)) {
       Out.push_back(std::move(*record));
@@ -90,8 +92,9 @@
   Effects.clear();
 }
 
-/// Newest table in the log, committed or not, and where it stands.
-std::pair<uint64_t, uint64_t> newestTable(const ServingStore &Store) {
+/// Version and log index of the newest table, committed or not. For one that is
+/// already applied, the index is Store.Applied.
+std::pair<uint64_t, uint64_t> findNewestTable(const ServingStore &Store) {
   for (uint64_t i = lastIndex(Store.Raft); i > Store.Applied; --i) {
     const wire::Command &command = entryAt(Store.Raft, i).command();
     if (command.has_serving_table())
@@ -100,43 +103,44 @@
   return {Store.Table.version(), Store.Applied};
 }
 
-StoreOutcome whyNot(const ServingStore &Store) {
+StoreOutcome failureOutcome(const ServingStore &Store) {
   bool knowsLeader =
       Store.Raft.Leader != 0 && Store.Raft.Leader != Store.Raft.Self.Identity;
   return knowsLeader ? StoreOutcome::NotLeader : StoreOutcome::Unavailable;
 }
 
-void write(ServingStore &Store, const StoreWrite &Write, TimePoint Now,
-           RaftEffects &Raft, StoreEffects &Out) {
+void handleWrite(ServingStore &Store, const StoreWrite &Write, TimePoint Now,
+                 RaftEffects &Raft, StoreEffects &Out) {
   if (!canPropose(Store.Raft, Now) || Store.IsStopping) {
-    Out.push_back(StoreResult{Write.Number, whyNot(Store), 0, {}});
+    Out.push_back(StoreResult{Write.Number, failureOutcome(Store), 0, {}});
     return;
   }
-  auto [version, index] = newestTable(Store);
+  auto [version, index] = findNewestTable(Store);
   if (Write.Version > version) {
     wire::Command command;
     command.mutable_serving_table()->set_version(Write.Version);
     command.mutable_serving_table()->set_content(Write.Content);
     index = proposeRaft(Store.Raft, std::move(command), Now, Raft);
   }
-  // A version that is not higher changes nothing, but is acknowledged only
-  // once what overtook it lasts.
+  // A version that is not higher changes nothing, but is acknowledged only once
+  // the newer table is committed.
   Store.Pending.push_back({Write.Number, index});
-  answerWrites(Store, Out);
+  completeWrites(Store, Out);
 }
 
-void read(const ServingStore &Store, const StoreRead &Read, TimePoint Now,
-          StoreEffects &Out) {
-  bool isSure = canPropose(Store.Raft, Now) && Store.Table.version() > 0;
-  if (isSure)
+void handleRead(const ServingStore &Store, const StoreRead &Read, TimePoint Now,
+                StoreEffects &Out) {
+  bool isReadable = canPropose(Store.Raft, Now) && Store.Table.version() > 0;
+  if (isReadable)
     Out.push_back(StoreResult{Read.Number, StoreOutcome::Done,
                               Store.Table.version(), Store.Table.content()});
   else
-    Out.push_back(StoreResult{Read.Number, whyNot(Store), 0, {}});
+    Out.push_back(StoreResult{Read.Number, failureOutcome(Store), 0, {}});
 }
 
-void answerStatus(const ServingStore &Store, const StoreStatusRequest &Status,
-                  TimePoint Now, StoreEffects &Out) {
+void sendStatusReply(const ServingStore &Store,
+                     const StoreStatusRequest &Status, TimePoint Now,
+                     StoreEffects &Out) {
   RaftSend effect;
   effect.Address = Status.Address;
   wire::StatusReply &reply = *effect.Message.mutable_status_reply();
@@ -147,8 +151,9 @@
   Out.push_back(std::move(effect));
 }
 
-/// Writes whose leader lost its term may or may not last.
-void dropPending(ServingStore &Store, StoreEffects &Out) {
+/// Fails the pending writes once this member is no longer the leader: it is
+/// unknown whether they will be committed.
+void failPendingWrites(ServingStore &Store, StoreEffects &Out) {
   if (Store.Raft.Role == RaftRole::Leader)
     return;
   for (const PendingWrite &it : Store.Pending)
@@ -164,24 +169,24 @@
   compactRaft(Store.Raft, makeSnapshot(Store), StoreSnapshotTail, Effects);
 }
 
-void take(ServingStore &Store, const StoreEvent &Event, TimePoint Now,
-          RaftEffects &Raft, StoreEffects &Out) {
+void handleEvent(ServingStore &Store, const StoreEvent &Event, TimePoint Now,
+                 RaftEffects &Raft, StoreEffects &Out) {
   if (auto *received = std::get_if<StoreReceived>(&Event)) {
     receiveRaft(Store.Raft, received->Message, Now, Raft);
-  } else if (auto *put = std::get_if<StoreWrite>(&Event)) {
-    write(Store, *put, Now, Raft, Out);
-  } else if (auto *get = std::get_if<StoreRead>(&Event)) {
-    read(Store, *get, Now, Out);
-  } else if (auto *greet = std::get_if<StoreJoinAddresses>(&Event)) {
-    Store.Raft.GreetAddresses = greet->Addresses;
+  } else if (auto *write = std::get_if<StoreWrite>(&Event)) {
+    handleWrite(Store, *write, Now, Raft, Out);
+  } else if (auto *read = std::get_if<StoreRead>(&Event)) {
+    handleRead(Store, *read, Now, Out);
+  } else if (auto *join = std::get_if<StoreJoinAddresses>(&Event)) {
+    Store.Raft.GreetAddresses = join->Addresses;
   } else if (auto *status = std::get_if<StoreStatusRequest>(&Event)) {
-    answerStatus(Store, *status, Now, Out);
+    sendStatusReply(Store, *status, Now, Out);
   } else if (std::holds_alternative<StoreStop>(Event)) {
     Store.IsStopping = true;
     transferLeadership(Store.Raft, Now, Raft);
   } else {
     tickRaft(Store.Raft, Now, Raft);
-    removeSilentMember(Store.Raft, LeastVoters, MemberSilence, Now, Raft);
+    removeSilentMember(Store.Raft, MinVoters, MemberTimeout, Now, Raft);
   }
 }
 
@@ -201,16 +206,16 @@
                               TimePoint Now) {
   StoreEffects out;
   RaftEffects raft;
-  take(Store, Event, Now, raft, out);
-  takeRaftEffects(Store, raft, out);
+  handleEvent(Store, Event, Now, raft, out);
+  handleRaftEffects(Store, raft, out);
   applyCommitted(Store, out);
   compactIfLarge(Store, raft);
-  takeRaftEffects(Store, raft, out);
-  dropPending(Store, out);
+  handleRaftEffects(Store, raft, out);
+  failPendingWrites(Store, out);
   return out;
 }
 
-StoreView viewOf(const ServingStore &Store, TimePoint Now) {
+StoreView makeStoreView(const ServingStore &Store, TimePoint Now) {
   StoreView view;
   view.IsLeader = canPropose(Store.Raft, Now) && !Store.IsStopping;
   view.Term = Store.Raft.Term;
--- a/control/serving_store.h
+++ b/control/serving_store.h
@@ -1,10 +1,10 @@
 /// \file
-/// Decisions of one member of the group that keeps the serving table: writes,
-/// reads, and who belongs to the group.
+/// State machine of one member of the group that replicates the serving table:
+/// writes, reads and group membership. It does no I/O.
 ///
-/// A table is acknowledged once it is on a quorum of disks, and only the
-/// leader under its lease answers reads, so that no read goes back behind an
-/// acknowledged write.
+/// A write is acknowledged once it is on the disks of a quorum. Only the leader
+/// serves reads, and only under its lease, so no read returns a table older
+/// than an acknowledged write.
 #ifndef SASSAFRAS_CONTROL_SERVING_STORE_H
 #define SASSAFRAS_CONTROL_SERVING_STORE_H
 
@@ -16,67 +16,79 @@
 
 namespace sassafras {
 
-/// The group keeps at least so many voters: the loss of one is borne.
-inline constexpr size_t LeastVoters = 3;
-/// A member beyond those that is silent for this long is removed; above the
-/// longest ordinary pause of a host, below the time a newcomer needs to count.
-inline constexpr Millis MemberSilence{3'500};
-/// Log entries after which a snapshot replaces them; a table of tens of
-/// kilobytes for each keeps the folder to a few megabytes.
+/// Minimum number of voters that the group keeps, so that it tolerates the loss
+/// of one.
+inline constexpr size_t MinVoters = 3;
+/// A member that has not been heard for this long is removed, as long as
+/// MinVoters remain. Longer than the longest ordinary pause of a host, shorter
+/// than the time that a new member needs to become a voter.
+inline constexpr Millis MemberTimeout{3'500};
+/// Number of log entries after which a snapshot replaces them. With a table of
+/// tens of kilobytes in each, the data folder stays at a few megabytes.
 inline constexpr uint64_t StoreSnapshotEntries = 64;
-/// Entries kept for members that lag a little.
+/// Log entries kept after a snapshot for members that lag slightly behind.
 inline constexpr size_t StoreSnapshotTail = 16;
 
 struct PendingWrite {
-  uint64_t Number = 0; ///< Of the caller.
-  uint64_t Index = 0;  ///< Answered once this is committed.
+  uint64_t Number = 0; ///< Chosen by the caller, returned in the result.
+  uint64_t Index = 0;  ///< Acknowledged once this log index is applied.
 };
 
 struct ServingStore {
   RaftState Raft;
-  uint64_t Applied = 0;
+  uint64_t Applied = 0;           ///< Log index.
   wire::ServingTableChange Table; ///< Newest committed.
-  uint64_t Published = 0;         ///< Version.
+  uint64_t Published = 0;         ///< Version of the last StorePublish.
   std::vector<PendingWrite> Pending;
   bool IsStopping = false;
 };
 
+/// Periodic event.
 struct StoreTick {};
+/// A message of another member has arrived.
 struct StoreReceived {
   wire::Envelope Message;
 };
-/// An operator's table, checked. Content is compressed.
+/// Writes an operator's table, which has been validated.
 struct StoreWrite {
   uint64_t Number = 0;
   uint64_t Version = 0;
-  std::string Content;
+  std::string Content; ///< Compressed.
 };
 struct StoreRead {
   uint64_t Number = 0;
 };
-/// Other nodes that may know the leader.
+/// Sets the addresses of nodes that may know the leader. A member without a
+/// leader asks there to join.
 struct StoreJoinAddresses {
   std::vector<std::string> Addresses;
 };
+/// The process is about to stop: hands over leadership and refuses writes.
 struct StoreStop {};
-/// An operator asks; the group's part of \p Reply is filled in.
+/// An operator requests the status. The group's part of \c Reply is filled in
+/// before it is sent.
 struct StoreStatusRequest {
-  std::string Address; ///< Inner address of who asks.
+  std::string Address; ///< Link address of the requester.
   wire::StatusReply Reply;
 };
 using StoreEvent =
     std::variant<StoreTick, StoreReceived, StoreWrite, StoreRead,
                  StoreJoinAddresses, StoreStop, StoreStatusRequest>;
 
+/// NotLeader: another member is known as the leader. Unavailable: no leader is
+/// known, this leader is stopping or has no lease or no table, the data folder
+/// cannot be used, or leadership or the disk was lost before a write was
+/// applied. In these last two cases the write may still take effect.
 enum class StoreOutcome { Done, NotLeader, Unavailable };
 
+/// Result of a StoreWrite or StoreRead.
 struct StoreResult {
   uint64_t Number = 0;
   StoreOutcome Outcome = StoreOutcome::Unavailable;
-  uint64_t Version = 0;
-  std::string Content; ///< Reads.
+  uint64_t Version = 0; ///< Current version of the table.
+  std::string Content;  ///< Reads only.
 };
-/// A newer table is in force.
+/// A newer table has been committed.
 struct StorePublish {
   uint64_t Version = 0;
   std::string Content;
@@ -85,21 +97,23 @@
                                  StoreResult, StorePublish>;
 using StoreEffects = std::vector<StoreEffect>;
 
-/// What other parts of the process need to know of the group.
+/// State of the group as other parts of the process need it.
 struct StoreView {
-  bool IsLeader = false; ///< With a lease.
+  bool IsLeader = false; ///< Holds the lease and is not stopping.
   uint64_t Term = 0;
-  std::string LeaderAddress; ///< Inner address, or empty.
+  std::string LeaderAddress; ///< Link address; empty if unknown.
   size_t Voters = 0;
   size_t Members = 0;
 };
 
-/// State of a member whose disk held \p Snapshot, or nothing when blank.
+/// State after a restart. \p Snapshot is the one read from the disk, or null
+/// for an empty data folder.
 ServingStore makeServingStore(RaftState Raft, const wire::Snapshot *Snapshot);
-/// Takes one event at \p Now.
+/// Applies one event at \p Now and returns the effects to execute in order;
+/// sync persisted records before each other effect. Not thread safe.
 StoreEffects stepServingStore(ServingStore &Store, const StoreEvent &Event,
                               TimePoint Now);
-StoreView viewOf(const ServingStore &Store, TimePoint Now);
+StoreView makeStoreView(const ServingStore &Store, TimePoint Now);
 
 } // namespace sassafras
 
--- a/tests/control/test_serving_store.cpp
+++ b/tests/control/test_serving_store.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// The group that keeps the serving table, under loss, restarts, lost disks
-/// and newcomers: nothing acknowledged is lost, no read goes back.
+/// Simulates the group that replicates the serving table with lost messages,
+/// restarts, lost disks and new members. No acknowledged write may be lost, and
+/// no read may return an older table.
 #include "control/serving_store.h"
 
 #include <catch2/catch.hpp>
@@ -15,7 +16,7 @@
 const TimePoint Start = TimePoint() + std::chrono::hours(1);
 constexpr Millis Step{10};
 
-/// What one member's disk holds; all that is written counts as synced.
+/// Simulated disk of one member; every write counts as synced.
 struct MemberDisk {
   bool IsBlank = true;
   wire::Snapshot Snapshot;
@@ -51,7 +52,7 @@
     it.Store = makeServingStore(std::move(raft),
                                 it.Disk.IsBlank ? nullptr : &it.Disk.Snapshot);
     it.IsUp = true;
-    // A new process may publish again what the one before did.
+    // A restarted process may publish a version again.
     Published.erase(Name);
   }
 
@@ -60,15 +61,15 @@
     Members[Name].Disk = {};
   }
 
-  void take(const std::string &Name, const StoreEvent &Event) {
+  void handleEvent(const std::string &Name, const StoreEvent &Event) {
     Member &it = Members[Name];
     if (!it.IsUp)
       return;
     for (StoreEffect &effect : stepServingStore(it.Store, Event, Now))
-      perform(Name, it, effect);
+      applyEffect(Name, it, effect);
   }
 
-  void perform(const std::string &Name, Member &It, StoreEffect &Effect) {
+  void applyEffect(const std::string &Name, Member &It, StoreEffect &Effect) {
     if (auto *record = std::get_if<PersistRecord>(&Effect)) {
       if (record->Record.has_hard_state())
         It.Disk.State = record->Record.hard_state();
@@ -78,25 +79,25 @@
                               It.Disk.Entries.end());
         It.Disk.Entries[index] = record->Record.entry();
       }
-    } else if (auto *whole = std::get_if<PersistSnapshot>(&Effect)) {
+    } else if (auto *snapshot = std::get_if<PersistSnapshot>(&Effect)) {
       It.Disk.IsBlank = false;
-      It.Disk.Snapshot = whole->Snapshot;
-      It.Disk.State = whole->HardState;
+      It.Disk.Snapshot = snapshot->Snapshot;
+      It.Disk.State = snapshot->HardState;
       It.Disk.Entries.clear();
-      for (const wire::LogEntry &entry : whole->Entries)
+      for (const wire::LogEntry &entry : snapshot->Entries)
         It.Disk.Entries[entry.index()] = entry;
     } else if (auto *message = std::get_if<RaftSend>(&Effect)) {
       message->Message.set_from(Name);
       message->Message.set_reply_address(Name);
-      ++Sent;
+      ++SentMessages;
       if (Random() % 100 < LossPercent)
         return;
-      if (Cut.contains(Name) != Cut.contains(message->Address))
+      if (Partitioned.contains(Name) != Partitioned.contains(message->Address))
         return;
       Queue.emplace(Now + Millis(1 + Random() % 12),
                     std::pair{message->Address, message->Message});
-    } else if (auto *answer = std::get_if<StoreResult>(&Effect)) {
-      Answers[answer->Number] = *answer;
+    } else if (auto *result = std::get_if<StoreResult>(&Effect)) {
+      Results[result->Number] = *result;
     } else if (auto *table = std::get_if<StorePublish>(&Effect)) {
       CHECK(table->Version > Published[Name]);
       Published[Name] = table->Version;
@@ -111,32 +112,34 @@
         auto [address, message] = Queue.begin()->second;
         Queue.erase(Queue.begin());
         if (Members.contains(address))
-          take(address, StoreReceived{message});
+          handleEvent(address, StoreReceived{message});
       }
       for (auto &[name, it] : Members)
-        take(name, StoreTick{});
+        handleEvent(name, StoreTick{});
     }
   }
 
   std::string leader() {
     for (auto &[name, it] : Members)
-      if (it.IsUp && viewOf(it.Store, Now).IsLeader)
+      if (it.IsUp && makeStoreView(it.Store, Now).IsLeader)
         return name;
     return {};
   }
 
-  /// Writes until it is acknowledged, as an operator does.
+  /// Repeats the write until it is acknowledged, as an operator does. Returns
+  /// false after \p Limit.
   bool write(uint64_t Version, Millis Limit) {
     TimePoint end = Now + Limit;
     while (Now < end) {
-      std::string to = leader();
+      std::string leaderName = leader();
       uint64_t number = ++LastNumber;
-      if (!to.empty())
-        take(to, StoreWrite{number, Version, "t" + std::to_string(Version)});
+      if (!leaderName.empty())
+        handleEvent(leaderName,
+                    StoreWrite{number, Version, "t" + std::to_string(Version)});
       run(Millis(300));
-      auto answer = Answers.find(number);
-      if (answer != Answers.end() &&
-          answer->second.Outcome == StoreOutcome::Done)
+      auto result = Results.find(number);
+      if (result != Results.end() &&
+          result->second.Outcome == StoreOutcome::Done)
         return true;
     }
     return false;
@@ -144,8 +147,8 @@
 
   StoreResult read(const std::string &From) {
     uint64_t number = ++LastNumber;
-    take(From, StoreRead{number});
-    return Answers[number];
+    handleEvent(From, StoreRead{number});
+    return Results[number];
   }
 
   std::mt19937_64 Random;
@@ -153,22 +156,22 @@
   std::vector<std::string> Seeds{"a", "b", "c"};
   std::map<std::string, Member> Members;
   std::multimap<TimePoint, std::pair<std::string, wire::Envelope>> Queue;
-  std::map<uint64_t, StoreResult> Answers;
+  std::map<uint64_t, StoreResult> Results;
   std::map<std::string, uint64_t> Published;
-  std::set<std::string> Cut;
+  std::set<std::string> Partitioned;
   unsigned LossPercent = 0;
   uint64_t LastNumber = 0;
-  uint64_t Sent = 0;
+  uint64_t SentMessages = 0;
 };
 
-void startFour(Group &It) {
+void startFourMembers(Group &It) {
   for (const char *name : {"a", "b", "c", "d"})
     It.start(name, true);
   It.run(Millis(3'000));
 }
 
-size_t votersSeenBy(Group &It, const std::string &Name) {
-  return viewOf(It.Members[Name].Store, It.Now).Voters;
+size_t countVotersSeenBy(Group &It, const std::string &Name) {
+  return makeStoreView(It.Members[Name].Store, It.Now).Voters;
 }
 
 } // namespace
@@ -178,112 +181,113 @@
     INFO("seed " << seed);
     Group group(seed);
     group.LossPercent = seed % 2 * 5;
-    startFour(group);
+    startFourMembers(group);
     group.run(Millis(2'000));
     REQUIRE_FALSE(group.leader().empty());
-    CHECK(votersSeenBy(group, group.leader()) == 4);
+    CHECK(countVotersSeenBy(group, group.leader()) == 4);
   }
 }
 
-TEST_CASE("acknowledged tables outlive kills, lost disks and lossy links") {
+TEST_CASE("acknowledged tables survive kills, lost disks and lossy links") {
   for (unsigned seed = 1; seed <= 25; ++seed) {
     INFO("seed " << seed);
     Group group(seed);
-    startFour(group);
+    startFourMembers(group);
     group.LossPercent = 3;
     uint64_t version = 0;
     for (int round = 0; round < 8; ++round) {
       version += 1 + group.Random() % 3;
       REQUIRE(group.write(version, Millis(8'000)));
       std::vector<std::string> names{"a", "b", "c", "d"};
-      std::string hit = names[group.Random() % names.size()];
+      std::string target = names[group.Random() % names.size()];
       switch (group.Random() % 4) {
-      case 0: // One host loses its disk.
-        group.wipe(hit);
+      case 0: // One member loses its disk.
+        group.wipe(target);
         group.run(Millis(300));
-        group.start(hit, false);
+        group.start(target, false);
         break;
-      case 1: // All lose power at once.
+      case 1: // All members lose power at the same time.
         for (const std::string &it : names)
           group.Members[it].IsUp = false;
         group.Queue.clear();
         for (const std::string &it : names)
           group.start(it, false);
         break;
-      case 2: // One is cut off for a while.
-        group.Cut = {hit};
+      case 2: // One member is partitioned for 5 s.
+        group.Partitioned = {target};
         group.run(Millis(5'000));
-        group.Cut.clear();
+        group.Partitioned.clear();
         break;
       default:
-        group.Members[hit].IsUp = false;
+        group.Members[target].IsUp = false;
         group.run(Millis(1'500));
-        group.start(hit, false);
+        group.start(target, false);
       }
       group.run(Millis(7'000));
       std::string leader = group.leader();
       REQUIRE_FALSE(leader.empty());
-      StoreResult answer = group.read(leader);
-      REQUIRE(answer.Outcome == StoreOutcome::Done);
-      CHECK(answer.Version == version);
-      CHECK(answer.Content == "t" + std::to_string(version));
+      StoreResult result = group.read(leader);
+      REQUIRE(result.Outcome == StoreOutcome::Done);
+      CHECK(result.Version == version);
+      CHECK(result.Content == "t" + std::to_string(version));
     }
   }
 }
 
-TEST_CASE("host that takes the place of a lost one becomes a voter, and the "
-          "lost one is removed") {
+TEST_CASE("host that replaces a lost one becomes a voter, and the lost one is "
+          "removed") {
   Group group(5);
-  startFour(group);
+  startFourMembers(group);
   REQUIRE(group.write(1, Millis(3'000)));
   group.Members["b"].IsUp = false;
   group.start("e", false);
   group.run(Millis(9'000));
   REQUIRE_FALSE(group.leader().empty());
-  CHECK(votersSeenBy(group, group.leader()) == 4);
-  // A further loss is borne then.
+  CHECK(countVotersSeenBy(group, group.leader()) == 4);
+  // The group then tolerates another loss.
   group.Members[group.leader()].IsUp = false;
   group.run(Millis(4'000));
   CHECK(group.write(2, Millis(4'000)));
 }
 
-TEST_CASE("member that was removed while it was away is taken in again") {
+TEST_CASE("member that was removed while partitioned joins again") {
   Group group(6);
-  startFour(group);
-  group.Cut = {"c"};
+  startFourMembers(group);
+  group.Partitioned = {"c"};
   group.run(Millis(8'000));
   REQUIRE(group.write(4, Millis(3'000)));
-  CHECK(votersSeenBy(group, group.leader()) == 3);
-  group.Cut.clear();
+  CHECK(countVotersSeenBy(group, group.leader()) == 3);
+  group.Partitioned.clear();
   group.run(Millis(6'000));
-  CHECK(votersSeenBy(group, group.leader()) == 4);
+  CHECK(countVotersSeenBy(group, group.leader()) == 4);
   CHECK(group.Published["c"] == 4);
 }
 
-TEST_CASE("leader that is cut off neither reads nor writes") {
+TEST_CASE("partitioned leader serves no reads and accepts no writes") {
   Group group(7);
-  startFour(group);
+  startFourMembers(group);
   REQUIRE(group.write(1, Millis(3'000)));
-  std::string old = group.leader();
-  group.Cut = {old};
+  std::string oldLeader = group.leader();
+  group.Partitioned = {oldLeader};
   group.run(timing::QuickGroup.Lease);
-  CHECK(group.read(old).Outcome != StoreOutcome::Done);
+  CHECK(group.read(oldLeader).Outcome != StoreOutcome::Done);
   group.run(Millis(2'500));
-  REQUIRE(group.leader() != old);
+  REQUIRE(group.leader() != oldLeader);
   REQUIRE(group.write(2, Millis(3'000)));
-  CHECK(group.read(old).Outcome != StoreOutcome::Done);
+  CHECK(group.read(oldLeader).Outcome != StoreOutcome::Done);
 }
 
 TEST_CASE("version that is not higher is acknowledged and changes nothing") {
   Group group(8);
-  startFour(group);
+  startFourMembers(group);
   REQUIRE(group.write(5, Millis(3'000)));
   REQUIRE(group.write(5, Millis(3'000)));
   REQUIRE(group.write(3, Millis(3'000)));
   CHECK(group.read(group.leader()).Version == 5);
 }
 
-TEST_CASE("empty folder neither forms nor votes when the fleet is not new") {
+TEST_CASE("members with empty folders neither form a group nor vote unless the "
+          "fleet is new") {
   Group group(9);
   for (const char *name : {"a", "b", "c"})
     group.start(name, false);
@@ -291,12 +295,13 @@
   CHECK(group.leader().empty());
 }
 
-// A formed member and a front that keeps no log answered each other's hello
-// without end: 11 MB between zones in ten seconds.
-TEST_CASE("hello of a front without a log is not answered") {
+// Guards against an endless exchange of hellos: a member of a formed group and
+// a front without a log replied to each other's hello, which caused 11 MB of
+// traffic between zones in 10 s.
+TEST_CASE("hello of a front without a log gets no reply") {
   Group group(10);
-  startFour(group);
-  uint64_t before = group.Sent;
+  startFourMembers(group);
+  uint64_t before = group.SentMessages;
   wire::Envelope message;
   wire::BlankHello &hello = *message.mutable_blank_hello();
   hello.set_name("x");
@@ -305,15 +310,16 @@
   hello.set_is_diskless(true);
   message.set_from("x");
   std::string member = group.leader() == "a" ? "b" : "a";
-  group.take(member, StoreReceived{message});
-  CHECK(group.Sent == before);
+  group.handleEvent(member, StoreReceived{message});
+  CHECK(group.SentMessages == before);
 }
 
-TEST_CASE("hundreds of tables leave a short log") {
+TEST_CASE("log stays short after hundreds of tables") {
   Group group(11);
-  startFour(group);
+  startFourMembers(group);
   for (uint64_t version = 1; version <= 300; ++version) {
-    group.take(group.leader(), StoreWrite{++group.LastNumber, version, "t"});
+    group.handleEvent(group.leader(),
+                      StoreWrite{++group.LastNumber, version, "t"});
     group.run(Millis(40));
   }
   for (const char *name : {"a", "b", "c", "d"})
