--- a/control/control_shell.cpp
+++ b/control/control_shell.cpp
@@ -20,8 +20,8 @@
 
 namespace {
 
-constexpr Millis TickPeriod{25};
-/// Messages sent last get this long to leave the process.
+constexpr Millis TickInterval{25};
+/// Delay before the process exits, so that the last messages are sent.
 constexpr Millis ExitDelay{200};
 
 ControlOptions makeOptions(const ControlSettings &Settings) {
@@ -49,10 +49,10 @@
 private:
   bool restore(std::string &Problem);
   bool startHttp(std::string &Problem);
-  void step(const ControlEvent &Event);
-  void perform(ControlEffect &Effect);
-  void requireDisk(bool IsDone);
-  void publish();
+  void handleEvent(const ControlEvent &Event);
+  void applyEffect(ControlEffect &Effect);
+  void abortOnDiskFailure(bool IsWritten);
+  void publishRole();
   void exit();
 
   boost::asio::io_context &Io;
@@ -60,7 +60,7 @@
   Settings Options;
   Metrics &Counts;
   DiskLog Disk;
-  ControlState State; ///< Touched by the actor only, once it runs.
+  ControlState State; ///< Used by the actor only, once it runs.
   std::unique_ptr<Link> Peers;
   std::unique_ptr<HttpServer> Server;
   std::unique_ptr<boost::asio::steady_timer> ExitTimer;
@@ -79,7 +79,7 @@
     return false;
   }
   if (content->TornBytes > 0)
-    logEvent(LogLevel::Warning, "log_end_cut",
+    logEvent(LogLevel::Warning, "log_tail_truncated",
              {{"bytes", std::to_string(content->TornBytes)}});
   RaftSelf self{Options.Node, content->Identity, Peers->address()};
   TimePoint now = Clock::now();
@@ -99,21 +99,22 @@
 }
 
 bool ControlShell::startHttp(std::string &Problem) {
-  HttpServer::Handlers calls;
-  calls.OnRequest = [this](const HttpRequest &Request,
-                           const std::shared_ptr<HttpExchange> &Exchange) {
+  HttpServer::Handlers callbacks;
+  callbacks.OnRequest = [this](const HttpRequest &Request,
+                               const std::shared_ptr<HttpExchange> &Exchange) {
     if (!serveStatusPage(Request, *Exchange, Counts, IsReady))
       Exchange->respond(404, {}, "not found\n");
   };
-  calls.OnLoss = [](const HttpExchange *, HttpLoss) {};
+  callbacks.OnLoss = [](const HttpExchange *, HttpLoss) {};
   Server = std::make_unique<HttpServer>(Io, Options.Http, HttpLimits(), Counts,
-                                        std::move(calls));
+                                        std::move(callbacks));
   return Server->start(Problem);
 }
 
-/// A member that cannot write must not vote or answer.
-void ControlShell::requireDisk(bool IsDone) {
-  if (IsDone)
+/// Aborts the process after a failed write: a member that cannot persist its
+/// state must not vote or reply.
+void ControlShell::abortOnDiskFailure(bool IsWritten) {
+  if (IsWritten)
     return;
   logEvent(LogLevel::Error, "disk_failed",
            {{"file", Disk.lastProblem().File},
@@ -121,33 +122,33 @@
   std::abort();
 }
 
-void ControlShell::perform(ControlEffect &Effect) {
+void ControlShell::applyEffect(ControlEffect &Effect) {
   if (auto *record = std::get_if<PersistRecord>(&Effect)) {
-    requireDisk(Disk.append(record->Record));
-  } else if (auto *whole = std::get_if<PersistSnapshot>(&Effect)) {
-    requireDisk(
-        Disk.replace(whole->Snapshot, whole->HardState, whole->Entries));
+    abortOnDiskFailure(Disk.append(record->Record));
+  } else if (auto *snapshot = std::get_if<PersistSnapshot>(&Effect)) {
+    abortOnDiskFailure(Disk.replace(snapshot->Snapshot, snapshot->HardState,
+                                    snapshot->Entries));
   } else if (auto *message = std::get_if<RaftSend>(&Effect)) {
-    requireDisk(Disk.sync());
+    abortOnDiskFailure(Disk.sync());
     Peers->send(message->Address, std::move(message->Message));
   } else {
     exit();
   }
 }
 
-void ControlShell::step(const ControlEvent &Event) {
+void ControlShell::handleEvent(const ControlEvent &Event) {
   if (IsExiting)
     return;
-  // The time is read at use: a process that was stopped for a while finds
-  // its leases ended.
+  // The clock is read here, not when the event was queued, so that a process
+  // that was paused finds its leases expired.
   auto effects = stepControl(State, Event, Clock::now());
   for (ControlEffect &it : effects)
-    perform(it);
-  requireDisk(Disk.sync());
-  publish();
+    applyEffect(it);
+  abortOnDiskFailure(Disk.sync());
+  publishRole();
 }
 
-void ControlShell::publish() {
+void ControlShell::publishRole() {
   IsReady = State.Raft.Role != RaftRole::Blank && State.Raft.Leader != 0;
   bool hasChanged = LastRole != State.Raft.Role || LastTerm != State.Raft.Term;
   if (!hasChanged)
@@ -170,7 +171,8 @@
         std::make_unique<boost::asio::steady_timer>(self->Io, ExitDelay);
     self->ExitTimer->async_wait([self](auto) {
       self->Peers->close();
-      // The actor holds the shell and would keep the process alive.
+      // The actor holds a reference to the shell and would keep the process
+      // running.
       caf::anon_send_exit(self->Role, caf::exit_reason::user_shutdown);
       self->Io.stop();
     });
@@ -186,10 +188,10 @@
       });
   if (!Peers->start(Problem) || !restore(Problem) || !startHttp(Problem))
     return false;
-  std::function<void(ControlEvent &)> step =
-      [self = shared_from_this()](ControlEvent &it) { self->step(it); };
-  Role = System.spawn(makeRoleBehavior<ControlEvent>, step,
-                      ControlEvent(ControlTick{}), TickPeriod);
+  std::function<void(ControlEvent &)> handleEvent =
+      [self = shared_from_this()](ControlEvent &it) { self->handleEvent(it); };
+  Role = System.spawn(makeRoleBehavior<ControlEvent>, handleEvent,
+                      ControlEvent(ControlTick{}), TickInterval);
   return true;
 }
 
--- a/control/control_shell.h
+++ b/control/control_shell.h
@@ -1,6 +1,6 @@
 /// \file
-/// Shell of a process: disk, link and actor around the decisions of a control
-/// member.
+/// Shell of a control process: runs the control state machine on an actor and
+/// connects it to the disk, the link and HTTP.
 #ifndef SASSAFRAS_CONTROL_CONTROL_SHELL_H
 #define SASSAFRAS_CONTROL_CONTROL_SHELL_H
 
@@ -8,7 +8,7 @@
 
 namespace sassafras {
 
-/// Makes the shell; nothing runs before its start.
+/// Creates the shell; nothing runs before start is called.
 std::shared_ptr<RoleShell> makeControlShell(const ShellParts &Parts);
 
 } // namespace sassafras
