--- a/control/control_parts.h
+++ b/control/control_parts.h
@@ -1,5 +1,6 @@
 /// \file
-/// Parts of a control member's decisions that its modules share.
+/// Internal functions of the control state machine, shared by its source
+/// files. Not thread safe.
 #ifndef SASSAFRAS_CONTROL_CONTROL_PARTS_H
 #define SASSAFRAS_CONTROL_CONTROL_PARTS_H
 
@@ -9,47 +10,59 @@
 
 // proposals.cpp
 
-/// Time of the fleet: rises with this leader's clock from the last stamp.
-uint64_t fleetNow(const ControlState &State, TimePoint Now);
-/// Proposes a change that the leader itself decided, unless one for the same
-/// item is under way.
-void proposeOwn(ControlState &State, const std::string &Item,
-                wire::Command Command, TimePoint Now, RaftEffects &Raft);
-/// \p Reporter is the agent incarnation whose report asks for the change, or
-/// 0 when the leader decided it.
+/// Current fleet time in ms: the time stamp of the last command before this
+/// member became the leader, plus the time on its own clock since then.
+uint64_t currentFleetTimeMs(const ControlState &State, TimePoint Now);
+/// Proposes a change of \p Item without sending a reply to anyone. Does nothing
+/// while another such change of the item is pending, or when this member cannot
+/// propose.
+void proposeItemChange(ControlState &State, const std::string &Item,
+                       wire::Command Command, TimePoint Now, RaftEffects &Raft);
+/// Proposes to write or remove a replica record. \p Reporter is the incarnation
+/// of the agent whose report caused the change, or 0 for a leader's decision.
 void proposeReplica(ControlState &State, const wire::Replica &Replica,
                     bool Remove, uint64_t Reporter, TimePoint Now,
                     RaftEffects &Raft);
+/// Proposes to write or remove an endpoint record.
 void proposeEndpoint(ControlState &State, const wire::Endpoint &Endpoint,
                      bool Remove, TimePoint Now, RaftEffects &Raft);
-/// Takes a proposal of a node or an operator.
-void takeProposal(ControlState &State, const wire::Envelope &Message,
-                  TimePoint Now, RaftEffects &Raft, ControlEffects &Out);
-/// Sends \p Reply to whoever proposed; the leader itself needs none.
-void answerProposal(const ControlState &State, const PendingProposal &Proposal,
-                    wire::ProposalReply Reply, ControlEffects &Out);
+/// Proposes the command of a node or an operator, or replies with a refusal:
+/// not the leader, a command reserved for the leader, or too many pending.
+void handleProposal(ControlState &State, const wire::Envelope &Message,
+                    TimePoint Now, RaftEffects &Raft, ControlEffects &Out);
+/// Sends \p Reply to the proposer. No effect for the leader's own proposals.
+void sendProposalReply(const ControlState &State,
+                       const PendingProposal &Proposal,
+                       wire::ProposalReply Reply, ControlEffects &Out);
 
 // dissemination.cpp
 
-/// Answers the node's newest heartbeat with all that it lacks.
-void replyToNode(ControlState &State, const std::string &Node, NodeInfo &Info,
-                 TimePoint Now, ControlEffects &Out);
-/// Sends what changed at once, so that heartbeats need only repair.
+/// Replies to the node's latest heartbeat with all changes since the version
+/// that the node has applied.
+void sendHeartbeatReply(ControlState &State, const std::string &Node,
+                        NodeInfo &Info, TimePoint Now, ControlEffects &Out);
+/// Sends new changes to the nodes they concern without waiting for their next
+/// heartbeats; heartbeats only make up for lost messages.
 void pushChanges(ControlState &State, TimePoint Now, ControlEffects &Out);
-/// Tells a node that asked this member who leads.
-void nameLeader(const ControlState &State, const wire::Envelope &Message,
-                ControlEffects &Out);
-void answerStatus(const ControlState &State, const wire::Envelope &Message,
-                  TimePoint Now, ControlEffects &Out);
+/// Replies to a heartbeat sent to a member that is not the leader: gives the
+/// leader's address if it is known.
+void sendLeaderAddress(const ControlState &State, const wire::Envelope &Message,
+                       ControlEffects &Out);
+/// Replies with the status of the group, the nodes and, on request, the items.
+void sendStatusReply(const ControlState &State, const wire::Envelope &Message,
+                     TimePoint Now, ControlEffects &Out);
 
 // observation.cpp
 
-/// Takes what a node says of itself and answers it.
-void takeHeartbeat(ControlState &State, const wire::Envelope &Message,
-                   TimePoint Now, RaftEffects &Raft, ControlEffects &Out);
-/// Marks silent endpoints as not ready, and writes them off later on.
-void checkSilence(ControlState &State, TimePoint Now, RaftEffects &Raft);
-/// Decides on loads and unloads by what is known now.
+/// Stores a node's heartbeat, proposes the changes that follow from it, and
+/// replies. Delayed heartbeats, also of an earlier process, are ignored.
+void handleHeartbeat(ControlState &State, const wire::Envelope &Message,
+                     TimePoint Now, RaftEffects &Raft, ControlEffects &Out);
+/// Marks endpoints without reports as not ready after EndpointLease and removes
+/// their records after EndpointWriteOff.
+void checkEndpointTimeouts(ControlState &State, TimePoint Now,
+                           RaftEffects &Raft);
+/// Proposes loads and unloads by the current demand and use of the endpoints.
 void placeReplicas(ControlState &State, TimePoint Now, RaftEffects &Raft);
 
 void sendMessage(ControlEffects &Out, const std::string &Address,
--- a/control/control_state.cpp
+++ b/control/control_state.cpp
@@ -19,11 +19,12 @@
       continue;
     PendingProposal proposal = std::move(pending->second);
     State.Pending.erase(pending);
-    State.PendingItems.erase(proposal.OwnItem);
-    // Another leader's entry took this index: the proposer asks again.
+    State.PendingItems.erase(proposal.ChangedItem);
+    // An entry of another leader was committed at this index; the proposer
+    // has to propose again.
     if (proposal.Term != entry.term())
       reply.set_status(wire::PROPOSAL_NOT_LEADER);
-    answerProposal(State, proposal, std::move(reply), Out);
+    sendProposalReply(State, proposal, std::move(reply), Out);
   }
 }
 
@@ -42,8 +43,8 @@
   Out.push_back(std::move(effect));
 }
 
-void takeRaftEffects(ControlState &State, RaftEffects &Effects,
-                     ControlEffects &Out) {
+void handleRaftEffects(ControlState &State, RaftEffects &Effects,
+                       ControlEffects &Out) {
   for (RaftEffect &it : Effects) {
     if (auto *record = std::get_if<PersistRecord>(&it))
       Out.push_back(std::move(*record));
@@ -75,14 +76,15 @@
   transferLeadership(State.Raft, Now, Effects);
 }
 
-/// A proposal whose leader lost its term may be answered by nobody.
-void dropPendingOfOldTerms(ControlState &State, ControlEffects &Out) {
+/// Replies PROPOSAL_NOT_LEADER to all pending proposals once this member is no
+/// longer the leader; nobody else may ever reply to them.
+void rejectPendingProposals(ControlState &State, ControlEffects &Out) {
   if (State.Raft.Role == RaftRole::Leader)
     return;
   for (auto &[index, proposal] : State.Pending) {
     wire::ProposalReply reply;
     reply.set_status(wire::PROPOSAL_NOT_LEADER);
-    answerProposal(State, proposal, std::move(reply), Out);
+    sendProposalReply(State, proposal, std::move(reply), Out);
   }
   State.Pending.clear();
   State.PendingItems.clear();
@@ -111,17 +113,17 @@
     tickRaft(State.Raft, Now, raft);
   else
     stop(State, Now, raft);
-  takeRaftEffects(State, raft, out);
+  handleRaftEffects(State, raft, out);
   applyCommitted(State, out);
-  noteLeadership(State, Now);
+  initLeaderState(State, Now);
   if (received)
-    receiveFromNode(State, received->Message, Now, raft, out);
+    handleNodeMessage(State, received->Message, Now, raft, out);
   if (std::holds_alternative<ControlTick>(Event))
     tickLeader(State, Now, raft, out);
   compactIfLarge(State, raft);
-  takeRaftEffects(State, raft, out);
+  handleRaftEffects(State, raft, out);
   applyCommitted(State, out);
-  dropPendingOfOldTerms(State, out);
+  rejectPendingProposals(State, out);
   bool isAlone = State.Raft.Members.size() <= 1;
   if (State.IsStopping && (isAlone || State.Raft.Role != RaftRole::Leader))
     out.push_back(ControlExit{});
--- a/control/control_state.h
+++ b/control/control_state.h
@@ -1,9 +1,9 @@
 /// \file
-/// Decisions of a control member: replication, the fleet's state, and, while
-/// it leads, placement, grants, dissemination and claims.
+/// State machine of a control member: replication, the fleet's state, and, on
+/// the leader, placement, grants, dissemination and claims. It does no I/O.
 ///
-/// Drive it with stepControl; carry the effects out in order and sync what
-/// is persisted before the next send.
+/// Drive it with stepControl. Execute the effects in order and sync persisted
+/// records before the next send.
 #ifndef SASSAFRAS_CONTROL_CONTROL_STATE_H
 #define SASSAFRAS_CONTROL_CONTROL_STATE_H
 
@@ -15,36 +15,38 @@
 
 namespace sassafras {
 
-/// Entries applied between two snapshots.
-inline constexpr uint64_t SnapshotEvery = 2000;
-/// Log entries kept in memory for slow members after a snapshot.
+/// Default number of entries applied between two snapshots.
+inline constexpr uint64_t SnapshotInterval = 2000;
+/// Log entries kept in memory after a snapshot for members that lag behind.
 inline constexpr size_t SnapshotTail = 200;
-/// Proposals under way at once; more are refused as overload.
+/// Maximum number of pending proposals; further ones are refused with
+/// PROPOSAL_OVERLOADED.
 inline constexpr size_t MaxPendingProposals = 10'000;
 
-/// Settings of a control member that its decisions depend on.
+/// Settings that the decisions of a control member depend on.
 struct ControlOptions {
   StoreLimits Store;
   IdleWeights Weights;
-  uint64_t SnapshotEntries = SnapshotEvery;
+  uint64_t SnapshotEntries = SnapshotInterval;
 };
 
-/// What the leader last heard from a node.
+/// The leader's knowledge of a node, from its heartbeats.
 struct NodeInfo {
   std::string Address;
   uint64_t Incarnation = 0;
   TimePoint LastHeard;
-  TimePoint EndpointKnownAt; ///< Agents: when it last knew its endpoint.
-  uint64_t LastGrantRequest = 0;
-  uint64_t PushedVersion = 0;
-  wire::Heartbeat Beat;
+  /// Agents: last heartbeat that gave the endpoint's state or its end.
+  TimePoint EndpointReportedAt;
+  uint64_t LastGrantRequest = 0; ///< Number of the last grant request.
+  uint64_t PushedVersion = 0;    ///< Changes up to it are sent or irrelevant.
+  wire::Heartbeat LastHeartbeat;
 };
 
-/// Who waits for a proposal to be applied.
+/// A proposal that has not been applied yet, and where to send the reply.
 struct PendingProposal {
-  std::string Address;
+  std::string Address; ///< Empty: no reply is sent.
   std::string RequestId;
-  std::string OwnItem; ///< Item the leader itself changes, if any.
+  std::string ChangedItem; ///< Set by proposeItemChange only.
   uint64_t Term = 0;
 };
 
@@ -53,26 +55,26 @@
   RaftState Raft;
   FleetState Fleet;
   std::map<std::string, NodeInfo> Nodes;
-  std::map<uint64_t, PendingProposal> Pending;
-  std::set<std::string> PendingItems;
-  TokenBank Bank;
-  IdleState Idling;
-  uint64_t LedTerm = 0; ///< Term for which the soft state was set up.
-  TimePoint LedSince;
+  std::map<uint64_t, PendingProposal> Pending; ///< By log index.
+  std::set<std::string> PendingItems; ///< ChangedItem of those in Pending.
+  TokenBank Buckets;
+  IdleState Arrivals;
+  uint64_t SoftStateTerm = 0; ///< Term for which initLeaderState last ran.
+  TimePoint LeaderSince;
   uint64_t FleetTimeBaseMs = 0;
   TimePoint FleetTimeBaseAt;
-  double LoadTokens = 0;
-  TimePoint LoadTokensAt;
+  double LoadTokens = 0; ///< Loads from the store that may start now.
+  TimePoint LoadTokensUpdatedAt;
   bool IsStopping = false;
 };
 
-/// Time has passed; send one at least every 50 ms.
+/// Periodic event; must be delivered at least every 50 ms.
 struct ControlTick {};
-/// An envelope of the own fleet came in.
+/// A message from a process of the same fleet has arrived.
 struct ControlReceived {
   wire::Envelope Message;
 };
-/// The process was asked to stop gracefully.
+/// The process shall stop gracefully.
 struct ControlStop {};
 using ControlEvent = std::variant<ControlTick, ControlReceived, ControlStop>;
 
@@ -82,13 +84,17 @@
     std::variant<PersistRecord, PersistSnapshot, RaftSend, ControlExit>;
 using ControlEffects = std::vector<ControlEffect>;
 
-/// State of a member whose disk held \p Snapshot, or nothing when blank.
+/// State after a restart. \p Snapshot is the one read from the disk, or null
+/// for an empty data folder.
 ControlState makeControl(ControlOptions Options, RaftState Raft,
                          const wire::Snapshot *Snapshot);
-/// Takes one event at \p Now.
+/// Applies one event at \p Now and returns the effects to execute. Not thread
+/// safe.
 ControlEffects stepControl(ControlState &State, const ControlEvent &Event,
                            TimePoint Now);
-/// Oldest version that every live node has applied.
+/// Newest version that all live nodes have applied. 0 during the first
+/// ViewLease of a leader, as nodes may hold an older view from the leader
+/// before it.
 uint64_t inForceVersion(const ControlState &State, TimePoint Now);
 
 } // namespace sassafras
--- a/control/dissemination.cpp
+++ b/control/dissemination.cpp
@@ -9,32 +9,37 @@
 
 namespace {
 
-/// Prefixes of the items that entries hold.
-constexpr std::string_view EntryItems[] = {
+/// Name prefixes of the items that are sent to entries.
+constexpr std::string_view EntryItemPrefixes[] = {
     "row/", "key/", "endpoint/", "replica/", "quarantine/", "death/"};
+/// Entries receive all items with one of those prefixes, agents only their own
+/// endpoint and its replicas.
 bool isForNode(const wire::Item &Item, const std::string &Node,
                const NodeInfo &Info) {
   const std::string &name = Item.name();
-  if (Info.Beat.is_agent())
+  if (Info.LastHeartbeat.is_agent())
     return name == endpointItemName(Node) ||
            name.starts_with(replicaItemName(Node, ""));
-  return std::any_of(std::begin(EntryItems), std::end(EntryItems),
+  return std::any_of(std::begin(EntryItemPrefixes), std::end(EntryItemPrefixes),
                      [&](std::string_view it) { return name.starts_with(it); });
 }
 
-/// Answer to the node's newest heartbeat with all that it lacks.
-wire::HeartbeatReply makeReply(const ControlState &State,
-                               const std::string &Node, const NodeInfo &Info,
-                               TimePoint Now) {
+/// Returns the reply to the node's latest heartbeat with all items changed
+/// since the version that the node has applied. If the deletions since then are
+/// no longer all kept, the reply holds the whole view and tells the node to
+/// reset.
+wire::HeartbeatReply makeHeartbeatReply(const ControlState &State,
+                                        const std::string &Node,
+                                        const NodeInfo &Info, TimePoint Now) {
   const ItemStore &items = State.Fleet.Items;
   wire::HeartbeatReply reply;
-  reply.set_number(Info.Beat.number());
+  reply.set_number(Info.LastHeartbeat.number());
   reply.set_term(State.Raft.Term);
   reply.set_is_leader(true);
   reply.set_leader_address(State.Raft.Self.Address);
-  reply.set_fleet_time_ms(fleetNow(State, Now));
+  reply.set_fleet_time_ms(currentFleetTimeMs(State, Now));
   reply.set_version(State.Fleet.Version);
-  uint64_t base = Info.Beat.applied_version();
+  uint64_t base = Info.LastHeartbeat.applied_version();
   if (base < items.oldestDelta()) {
     reply.set_reset(true);
     base = 0;
@@ -48,11 +53,12 @@
 
 } // namespace
 
-void replyToNode(ControlState &State, const std::string &Node, NodeInfo &Info,
-                 TimePoint Now, ControlEffects &Out) {
+void sendHeartbeatReply(ControlState &State, const std::string &Node,
+                        NodeInfo &Info, TimePoint Now, ControlEffects &Out) {
   wire::Envelope message;
-  *message.mutable_heartbeat_reply() = makeReply(State, Node, Info, Now);
-  for (const wire::DeathReport &it : Info.Beat.deaths())
+  *message.mutable_heartbeat_reply() =
+      makeHeartbeatReply(State, Node, Info, Now);
+  for (const wire::DeathReport &it : Info.LastHeartbeat.deaths())
     if (State.Fleet.Operations.contains("death/" + it.death()))
       message.mutable_heartbeat_reply()->add_deaths_recorded(it.death());
   Info.PushedVersion = State.Fleet.Version;
@@ -64,22 +70,23 @@
     if (info.PushedVersion >= State.Fleet.Version ||
         Now - info.LastHeard > timing::ViewLease)
       continue;
-    bool isConcerned = false;
-    uint64_t seen = std::max(info.PushedVersion, info.Beat.applied_version());
+    bool hasRelevantItem = false;
+    uint64_t seen =
+        std::max(info.PushedVersion, info.LastHeartbeat.applied_version());
     for (const wire::Item *it : State.Fleet.Items.since(seen))
-      isConcerned |= isForNode(*it, name, info);
-    if (isConcerned)
-      replyToNode(State, name, info, Now, Out);
+      hasRelevantItem |= isForNode(*it, name, info);
+    if (hasRelevantItem)
+      sendHeartbeatReply(State, name, info, Now, Out);
     else
       info.PushedVersion = State.Fleet.Version;
   }
 }
 
-void answerStatus(const ControlState &State, const wire::Envelope &Message,
-                  TimePoint Now, ControlEffects &Out) {
+void sendStatusReply(const ControlState &State, const wire::Envelope &Message,
+                     TimePoint Now, ControlEffects &Out) {
   const wire::StatusRequest &request = Message.status_request();
-  wire::Envelope answer;
-  wire::StatusReply &reply = *answer.mutable_status_reply();
+  wire::Envelope envelope;
+  wire::StatusReply &reply = *envelope.mutable_status_reply();
   reply.set_request_id(request.request_id());
   reply.set_node(State.Raft.Self.Name);
   fillGroupStatus(State.Raft, Now, reply);
@@ -89,25 +96,25 @@
   for (const auto &[name, info] : State.Nodes) {
     wire::NodeStatus &node = *reply.add_nodes();
     node.set_name(name);
-    node.set_applied_version(info.Beat.applied_version());
+    node.set_applied_version(info.LastHeartbeat.applied_version());
     node.set_silent_ms(toMillis(Now - info.LastHeard));
-    node.set_is_agent(info.Beat.is_agent());
+    node.set_is_agent(info.LastHeartbeat.is_agent());
   }
   if (request.with_items())
     for (const wire::Item *it : State.Fleet.Items.list(request.prefix()))
       *reply.add_items() = *it;
-  sendMessage(Out, Message.reply_address(), std::move(answer));
+  sendMessage(Out, Message.reply_address(), std::move(envelope));
 }
 
-void nameLeader(const ControlState &State, const wire::Envelope &Message,
-                ControlEffects &Out) {
-  wire::Envelope answer;
-  wire::HeartbeatReply &reply = *answer.mutable_heartbeat_reply();
+void sendLeaderAddress(const ControlState &State, const wire::Envelope &Message,
+                       ControlEffects &Out) {
+  wire::Envelope envelope;
+  wire::HeartbeatReply &reply = *envelope.mutable_heartbeat_reply();
   reply.set_number(Message.heartbeat().number());
   reply.set_term(State.Raft.Term);
   if (State.Raft.Role == RaftRole::Follower)
     reply.set_leader_address(leaderAddress(State.Raft));
-  sendMessage(Out, Message.reply_address(), std::move(answer));
+  sendMessage(Out, Message.reply_address(), std::move(envelope));
 }
 
 } // namespace sassafras
--- a/control/leadership.h
+++ b/control/leadership.h
@@ -1,6 +1,6 @@
 /// \file
-/// What a control member does for the nodes: only the leader acts, the
-/// others name it.
+/// Handling of nodes and operators by a control member. Only the leader acts
+/// for nodes; the other members reply with its address. Not thread safe.
 #ifndef SASSAFRAS_CONTROL_LEADERSHIP_H
 #define SASSAFRAS_CONTROL_LEADERSHIP_H
 
@@ -8,12 +8,14 @@
 
 namespace sassafras {
 
-/// Sets the leader's soft state up when this member has just won a term.
-void noteLeadership(ControlState &State, TimePoint Now);
-/// Takes a message of a node or an operator.
-void receiveFromNode(ControlState &State, const wire::Envelope &Message,
-                     TimePoint Now, RaftEffects &Raft, ControlEffects &Out);
-/// Leader's periodic work: endpoints' silence, placement, pushes.
+/// Resets the leader's soft state once this member is established as the leader
+/// of a new term. Idempotent within a term.
+void initLeaderState(ControlState &State, TimePoint Now);
+/// Handles a message of a node or an operator; other messages are ignored.
+void handleNodeMessage(ControlState &State, const wire::Envelope &Message,
+                       TimePoint Now, RaftEffects &Raft, ControlEffects &Out);
+/// Periodic work of the leader: endpoint time-outs, placement, pushes of
+/// changes and removal of nodes without heartbeats. No effect on other members.
 void tickLeader(ControlState &State, TimePoint Now, RaftEffects &Raft,
                 ControlEffects &Out);
 
--- a/control/observation.cpp
+++ b/control/observation.cpp
@@ -12,19 +12,19 @@
   return A.SerializeAsString() == B.SerializeAsString();
 }
 
-void takeEndpoint(ControlState &State, NodeInfo &Info, TimePoint Now,
-                  RaftEffects &Raft) {
-  wire::Endpoint reported = Info.Beat.endpoint();
+void handleEndpointReport(ControlState &State, NodeInfo &Info, TimePoint Now,
+                          RaftEffects &Raft) {
+  wire::Endpoint reported = Info.LastHeartbeat.endpoint();
   const wire::Endpoint *known =
       findEndpoint(State.Fleet.Items, reported.name());
-  bool isKnown = reported.engine_incarnation() != 0;
-  if (isKnown || Info.Beat.endpoint_gone())
-    Info.EndpointKnownAt = Now;
-  if (!known && !isKnown)
+  bool isReported = reported.engine_incarnation() != 0;
+  if (isReported || Info.LastHeartbeat.endpoint_gone())
+    Info.EndpointReportedAt = Now;
+  if (!known && !isReported)
     return;
-  // An agent that has just started does not know its endpoint yet: what the
-  // endpoint holds still counts.
-  if (!isKnown && !Info.Beat.endpoint_gone()) {
+  // An agent that has just started does not know its endpoint's state yet. The
+  // recorded endpoint process and memory stay valid until it reports.
+  if (!isReported && !Info.LastHeartbeat.endpoint_gone()) {
     reported.set_engine_incarnation(known->engine_incarnation());
     reported.set_memory_mb(known->memory_mb());
   }
@@ -32,12 +32,12 @@
     proposeEndpoint(State, reported, false, Now, Raft);
 }
 
-void takeReplicaReport(ControlState &State, const std::string &Endpoint,
-                       const wire::ReplicaReport &Report, uint64_t Reporter,
-                       TimePoint Now, RaftEffects &Raft) {
+void handleReplicaReport(ControlState &State, const std::string &Endpoint,
+                         const wire::ReplicaReport &Report, uint64_t Reporter,
+                         TimePoint Now, RaftEffects &Raft) {
   const wire::Replica *known =
       findReplica(State.Fleet.Items, Endpoint, Report.row());
-  // Reports about an earlier decision say nothing about this one.
+  // Ignores reports on an earlier replica record; their fence differs.
   if (!known || known->fence() != Report.fence())
     return;
   wire::Replica replica = *known;
@@ -54,7 +54,8 @@
       proposeReplica(State, replica, true, Reporter, Now, Raft);
     return;
   default:
-    // The engine dropped it by itself: confirm that as an unload.
+    // The engine unloaded the replica without an order: record an unload, which
+    // the next report confirms.
     replica.set_phase(wire::PHASE_UNLOADING);
     if (!isLoaded)
       proposeReplica(State, replica, false, Reporter, Now, Raft);
@@ -62,14 +63,15 @@
   }
 }
 
-void takeDeaths(ControlState &State, const wire::Heartbeat &Beat, TimePoint Now,
-                RaftEffects &Raft) {
-  for (const wire::DeathReport &it : Beat.deaths()) {
+void proposeDeaths(ControlState &State, const wire::Heartbeat &Received,
+                   TimePoint Now, RaftEffects &Raft) {
+  for (const wire::DeathReport &it : Received.deaths()) {
     wire::Command command;
     command.set_operation_id("death/" + it.death());
     command.mutable_death()->set_death(it.death());
     *command.mutable_death()->mutable_digests() = it.digests();
-    proposeOwn(State, "death/" + it.death(), std::move(command), Now, Raft);
+    proposeItemChange(State, "death/" + it.death(), std::move(command), Now,
+                      Raft);
   }
 }
 
@@ -85,7 +87,7 @@
   for (const auto &[name, info] : State.Nodes) {
     if (Now - info.LastHeard >= timing::EndpointLease)
       continue;
-    for (const wire::ModelDemand &it : info.Beat.demand()) {
+    for (const wire::ModelDemand &it : info.LastHeartbeat.demand()) {
       RowDemand &row = sum[it.row()];
       row.Waiting += it.waiting();
       Millis wait(it.oldest_wait_ms());
@@ -99,94 +101,96 @@
   return sum;
 }
 
-std::map<std::string, EndpointUse> listUse(const ControlState &State,
-                                           TimePoint Now) {
+std::map<std::string, EndpointUse> collectEndpointUse(const ControlState &State,
+                                                      TimePoint Now) {
   std::map<std::string, EndpointUse> all;
   for (const auto &[name, info] : State.Nodes) {
-    if (!info.Beat.is_agent())
+    if (!info.LastHeartbeat.is_agent())
       continue;
     EndpointUse &use = all[name];
     use.IsLive = isLive(State, name, Now);
-    use.HasStrangers = info.Beat.has_strangers();
-    use.CachedRows.insert(info.Beat.cached_rows().begin(),
-                          info.Beat.cached_rows().end());
-    for (const wire::ReplicaReport &it : info.Beat.replicas())
+    use.HasStrangers = info.LastHeartbeat.has_strangers();
+    use.CachedRows.insert(info.LastHeartbeat.cached_rows().begin(),
+                          info.LastHeartbeat.cached_rows().end());
+    for (const wire::ReplicaReport &it : info.LastHeartbeat.replicas())
       use.Replicas[it.row()] = {it.running(), Millis(it.idle_ms())};
   }
   return all;
 }
 
-void refillLoads(ControlState &State, TimePoint Now) {
-  std::chrono::duration<double> passed = Now - State.LoadTokensAt;
-  State.LoadTokensAt = Now;
-  double most = State.Options.Store.LoadsAtOnce;
-  State.LoadTokens =
-      std::min(most, State.LoadTokens +
-                         passed.count() * State.Options.Store.LoadsPerSecond);
+void refillLoadTokens(ControlState &State, TimePoint Now) {
+  std::chrono::duration<double> elapsed = Now - State.LoadTokensUpdatedAt;
+  State.LoadTokensUpdatedAt = Now;
+  double maxTokens = State.Options.Store.LoadsAtOnce;
+  State.LoadTokens = std::min(
+      maxTokens,
+      State.LoadTokens + elapsed.count() * State.Options.Store.LoadsPerSecond);
 }
 
 } // namespace
 
-void takeHeartbeat(ControlState &State, const wire::Envelope &Message,
-                   TimePoint Now, RaftEffects &Raft, ControlEffects &Out) {
-  const wire::Heartbeat &beat = Message.heartbeat();
+void handleHeartbeat(ControlState &State, const wire::Envelope &Message,
+                     TimePoint Now, RaftEffects &Raft, ControlEffects &Out) {
+  const wire::Heartbeat &received = Message.heartbeat();
   NodeInfo &info = State.Nodes[Message.from()];
   bool isSameProcess = info.Incarnation == Message.incarnation();
-  if (isSameProcess && beat.number() < info.Beat.number())
+  if (isSameProcess && received.number() < info.LastHeartbeat.number())
     return;
-  // Incarnations of one name rise; a late message of an earlier process must
-  // not take the place of the present one.
-  bool isEarlier = Message.incarnation() < info.Incarnation &&
-                   Now - info.LastHeard < timing::EndpointWriteOff;
-  if (isEarlier)
+  // Incarnations of a node name increase. A delayed message of an earlier
+  // process must not replace the state of the current one, unless that has not
+  // been heard for EndpointWriteOff.
+  bool isOlderProcess = Message.incarnation() < info.Incarnation &&
+                        Now - info.LastHeard < timing::EndpointWriteOff;
+  if (isOlderProcess)
     return;
   if (!isSameProcess) {
-    TimePoint knownAt = info.EndpointKnownAt;
+    TimePoint reportedAt = info.EndpointReportedAt;
     info = NodeInfo();
-    info.EndpointKnownAt = knownAt;
+    info.EndpointReportedAt = reportedAt;
   }
   info.Address = Message.reply_address();
   info.Incarnation = Message.incarnation();
   info.LastHeard = Now;
-  info.Beat = beat;
-  for (const wire::ModelDemand &it : beat.demand())
+  info.LastHeartbeat = received;
+  for (const wire::ModelDemand &it : received.demand())
     if (it.arrivals() > 0)
-      recordArrivals(State.Idling, it.row(), Now);
-  if (beat.is_agent()) {
-    takeEndpoint(State, info, Now, Raft);
-    for (const wire::ReplicaReport &it : beat.replicas())
-      takeReplicaReport(State, Message.from(), it, Message.incarnation(), Now,
-                        Raft);
+      recordArrivals(State.Arrivals, it.row(), Now);
+  if (received.is_agent()) {
+    handleEndpointReport(State, info, Now, Raft);
+    for (const wire::ReplicaReport &it : received.replicas())
+      handleReplicaReport(State, Message.from(), it, Message.incarnation(), Now,
+                          Raft);
   }
-  takeDeaths(State, beat, Now, Raft);
-  replyToNode(State, Message.from(), info, Now, Out);
+  proposeDeaths(State, received, Now, Raft);
+  sendHeartbeatReply(State, Message.from(), info, Now, Out);
 }
 
-void checkSilence(ControlState &State, TimePoint Now, RaftEffects &Raft) {
+void checkEndpointTimeouts(ControlState &State, TimePoint Now,
+                           RaftEffects &Raft) {
   for (const wire::Endpoint *it : listEndpoints(State.Fleet.Items)) {
     auto node = State.Nodes.find(it->name());
-    TimePoint heard = State.LedSince;
+    TimePoint lastReportAt = State.LeaderSince;
     if (node != State.Nodes.end())
-      heard = std::max(heard, node->second.EndpointKnownAt);
-    auto silence = Now - heard;
+      lastReportAt = std::max(lastReportAt, node->second.EndpointReportedAt);
+    auto silence = Now - lastReportAt;
     if (silence >= timing::EndpointWriteOff) {
       proposeEndpoint(State, *it, true, Now, Raft);
     } else if (silence >= timing::EndpointLease && it->ready()) {
-      wire::Endpoint silent = *it;
-      silent.set_ready(false);
-      proposeEndpoint(State, silent, false, Now, Raft);
+      wire::Endpoint unready = *it;
+      unready.set_ready(false);
+      proposeEndpoint(State, unready, false, Now, Raft);
     }
   }
 }
 
 void placeReplicas(ControlState &State, TimePoint Now, RaftEffects &Raft) {
-  refillLoads(State, Now);
+  refillLoadTokens(State, Now);
   auto demand = sumDemand(State, Now);
-  auto use = listUse(State, Now);
+  auto use = collectEndpointUse(State, Now);
   PlacementInput input{State.Fleet.Items,
                        demand,
                        use,
-                       State.Idling,
+                       State.Arrivals,
                        State.Options.Weights,
                        State.Options.Store,
                        static_cast<uint32_t>(State.LoadTokens)};
--- a/control/proposals.cpp
+++ b/control/proposals.cpp
@@ -6,16 +6,16 @@
 
 uint64_t propose(ControlState &State, wire::Command Command,
                  PendingProposal Proposal, TimePoint Now, RaftEffects &Raft) {
-  Command.set_fleet_time_ms(fleetNow(State, Now));
+  Command.set_fleet_time_ms(currentFleetTimeMs(State, Now));
   Proposal.Term = State.Raft.Term;
-  if (!Proposal.OwnItem.empty())
-    State.PendingItems.insert(Proposal.OwnItem);
+  if (!Proposal.ChangedItem.empty())
+    State.PendingItems.insert(Proposal.ChangedItem);
   uint64_t index = proposeRaft(State.Raft, std::move(Command), Now, Raft);
   State.Pending[index] = std::move(Proposal);
   return index;
 }
 
-bool isFromOutside(const wire::Command &Command) {
+bool isExternalCommand(const wire::Command &Command) {
   return Command.has_table_edit() || Command.has_key_grant() ||
          Command.has_key_withdraw() || Command.has_claim() ||
          Command.has_claim_outcome() || Command.has_death();
@@ -23,16 +23,17 @@
 
 } // namespace
 
-uint64_t fleetNow(const ControlState &State, TimePoint Now) {
+uint64_t currentFleetTimeMs(const ControlState &State, TimePoint Now) {
   return State.FleetTimeBaseMs + toMillis(Now - State.FleetTimeBaseAt);
 }
 
-void proposeOwn(ControlState &State, const std::string &Item,
-                wire::Command Command, TimePoint Now, RaftEffects &Raft) {
+void proposeItemChange(ControlState &State, const std::string &Item,
+                       wire::Command Command, TimePoint Now,
+                       RaftEffects &Raft) {
   if (State.PendingItems.contains(Item) || !canPropose(State.Raft, Now))
     return;
   PendingProposal proposal;
-  proposal.OwnItem = Item;
+  proposal.ChangedItem = Item;
   propose(State, std::move(Command), std::move(proposal), Now, Raft);
 }
 
@@ -43,8 +44,8 @@
   command.mutable_replica_change()->set_reporter(Reporter);
   *command.mutable_replica_change()->mutable_replica() = Replica;
   command.mutable_replica_change()->set_remove(Remove);
-  proposeOwn(State, replicaItemName(Replica.endpoint(), Replica.row()),
-             std::move(command), Now, Raft);
+  proposeItemChange(State, replicaItemName(Replica.endpoint(), Replica.row()),
+                    std::move(command), Now, Raft);
 }
 
 void proposeEndpoint(ControlState &State, const wire::Endpoint &Endpoint,
@@ -52,12 +53,12 @@
   wire::Command command;
   *command.mutable_endpoint_change()->mutable_endpoint() = Endpoint;
   command.mutable_endpoint_change()->set_remove(Remove);
-  proposeOwn(State, endpointItemName(Endpoint.name()), std::move(command), Now,
-             Raft);
+  proposeItemChange(State, endpointItemName(Endpoint.name()),
+                    std::move(command), Now, Raft);
 }
 
-void takeProposal(ControlState &State, const wire::Envelope &Message,
-                  TimePoint Now, RaftEffects &Raft, ControlEffects &Out) {
+void handleProposal(ControlState &State, const wire::Envelope &Message,
+                    TimePoint Now, RaftEffects &Raft, ControlEffects &Out) {
   const wire::Proposal &proposal = Message.proposal();
   PendingProposal pending;
   pending.Address = Message.reply_address();
@@ -65,20 +66,21 @@
   wire::ProposalReply refusal;
   if (!canPropose(State.Raft, Now) || State.IsStopping) {
     refusal.set_status(wire::PROPOSAL_NOT_LEADER);
-  } else if (!isFromOutside(proposal.command())) {
+  } else if (!isExternalCommand(proposal.command())) {
     refusal.set_status(wire::PROPOSAL_INVALID);
-    refusal.set_reason("command is not for nodes or operators");
+    refusal.set_reason("command is reserved for the control leader");
   } else if (State.Pending.size() >= MaxPendingProposals) {
     refusal.set_status(wire::PROPOSAL_OVERLOADED);
   } else {
     propose(State, proposal.command(), std::move(pending), Now, Raft);
     return;
   }
-  answerProposal(State, pending, std::move(refusal), Out);
+  sendProposalReply(State, pending, std::move(refusal), Out);
 }
 
-void answerProposal(const ControlState &State, const PendingProposal &Proposal,
-                    wire::ProposalReply Reply, ControlEffects &Out) {
+void sendProposalReply(const ControlState &State,
+                       const PendingProposal &Proposal,
+                       wire::ProposalReply Reply, ControlEffects &Out) {
   if (Proposal.Address.empty())
     return;
   Reply.set_request_id(Proposal.RequestId);
