--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -225,11 +225,11 @@
   options.DataFolder = Options.FrontRole.DataFolder;
   options.Seeds = Gossip.Seeds;
   options.MayForm = Options.FrontRole.MayForm;
-  ServingGroupCalls calls;
+  ServingGroupCallbacks calls;
   calls.OnPublish = [this](const StorePublish &Table) {
     applyTable(Table.Version, Table.Content);
   };
-  calls.OnAnswer = [this](const StoreAnswer &Answer) {
+  calls.OnResult = [this](const StoreResult &Answer) {
     Api->handleStoreAnswer(Answer);
   };
   calls.OnView = [this](const StoreView &NewView) { applyView(NewView); };
@@ -456,7 +456,7 @@
   reply.set_request_id(Message.status_request().request_id());
   fillFrontStatus(Core.State, Clock::now(), reply);
   if (Group) {
-    Group->post(StoreStatus{Message.reply_address(), std::move(reply)});
+    Group->post(StoreStatusRequest{Message.reply_address(), std::move(reply)});
     return;
   }
   reply.set_leader_address(Core.State.Leader.Address);
@@ -642,7 +642,7 @@
   for (const auto &[name, it] : Core.State.Roster.Nodes)
     if (it.Entry.is_voter())
       addresses.push_back(it.Entry.address());
-  Group->post(StoreGreet{std::move(addresses)});
+  Group->post(StoreJoinAddresses{std::move(addresses)});
 }
 
 void FrontShell::logStatistics(TimePoint Now) {
