--- a/main/main.cpp
+++ b/main/main.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The daemon: one process of a fleet, in the role its settings name.
+/// The daemon. Each process of a fleet runs the role that its settings select.
 #include "agent/agent_shell.h"
 #include "control/control_shell.h"
 #include "core/metrics.h"
@@ -29,10 +29,10 @@
 
 constexpr const char *Usage =
     "usage: sassafrasd --settings FILE [--check]\n"
-    "  -s, --settings FILE  settings of this process\n"
-    "  -c, --check          check the settings and exit\n"
-    "  -h, --help           this text\n"
-    "  -v, --version        version\n";
+    "  -s, --settings FILE  settings file of this process\n"
+    "  -c, --check          validate the settings and exit\n"
+    "  -h, --help           print this help and exit\n"
+    "  -v, --version        print the version and exit\n";
 
 struct Options {
   std::string SettingsFile;
@@ -47,10 +47,11 @@
     {nullptr, 0, nullptr, 0},
 };
 
-/// Reads the command line; a value is the code to exit with at once.
-std::optional<int> readOptions(int Count, char **Words, Options &Out) {
+/// Parses the command line into \p Out. Returns an exit code when the process
+/// has to exit at once.
+std::optional<int> readOptions(int Argc, char **Argv, Options &Out) {
   int code = 0;
-  while ((code = getopt_long(Count, Words, "s:chv", LongOptions, nullptr)) !=
+  while ((code = getopt_long(Argc, Argv, "s:chv", LongOptions, nullptr)) !=
          -1) {
     switch (code) {
     case 's':
@@ -70,7 +71,7 @@
       return ExitUsage;
     }
   }
-  if (!Out.SettingsFile.empty() && optind == Count)
+  if (!Out.SettingsFile.empty() && optind == Argc)
     return std::nullopt;
   std::fputs(Usage, stderr);
   return ExitUsage;
@@ -92,7 +93,9 @@
   return nullptr;
 }
 
-/// A second signal changes nothing: the stop goes on as it began.
+/// Stops the role gracefully on a signal, then waits for the next one, so that
+/// a second signal does not kill the process while it drains. Repeated calls of
+/// RoleShell::stop change nothing.
 void stopOnSignal(boost::asio::signal_set &Signals, RoleShell &Shell) {
   Signals.async_wait([&](auto ec, int) {
     if (ec)
@@ -103,53 +106,57 @@
   });
 }
 
-/// The settings file may change with a signal or without one.
-constexpr Millis SettingsPeriod{1'000};
+/// The settings file is polled at this interval as well as checked on SIGHUP,
+/// since it may be replaced without a signal.
+constexpr Millis SettingsPollInterval{1'000};
 
-std::string readWhole(const std::string &File) {
+std::string readFile(const std::string &File) {
   std::ifstream in(File, std::ios::binary);
   std::ostringstream out;
   out << in.rdbuf();
   return out.str();
 }
 
-/// Takes over a changed settings file; a bad one changes nothing.
-class SettingsWatch {
+/// Reloads the settings file when its content changes. An empty or unreadable
+/// file is ignored; an invalid one is logged. In both cases the current
+/// settings stay in effect.
+class SettingsWatcher {
 public:
-  SettingsWatch(boost::asio::io_context &Io, std::string File, RoleShell &Shell)
+  SettingsWatcher(boost::asio::io_context &Io, std::string File,
+                  RoleShell &Shell)
       : File(std::move(File)), Shell(Shell), Timer(Io), Signals(Io, SIGHUP),
-        Text(readWhole(this->File)) {}
+        LastText(readFile(this->File)) {}
 
   void start() {
-    wait();
-    hear();
+    scheduleCheck();
+    awaitSignal();
   }
 
 private:
-  void wait() {
-    Timer.expires_after(SettingsPeriod);
+  void scheduleCheck() {
+    Timer.expires_after(SettingsPollInterval);
     Timer.async_wait([this](auto ec) {
       if (ec)
         return;
-      look();
-      wait();
+      reloadIfChanged();
+      scheduleCheck();
     });
   }
 
-  void hear() {
+  void awaitSignal() {
     Signals.async_wait([this](auto ec, int) {
       if (ec)
         return;
-      look();
-      hear();
+      reloadIfChanged();
+      awaitSignal();
     });
   }
 
-  void look() {
-    std::string text = readWhole(File);
-    if (text == Text || text.empty())
+  void reloadIfChanged() {
+    std::string text = readFile(File);
+    if (text == LastText || text.empty())
       return;
-    Text = text;
+    LastText = text;
     SettingsProblem problem;
     auto settings = readSettings(File, problem);
     if (!settings) {
@@ -165,17 +172,17 @@
   RoleShell &Shell;
   boost::asio::steady_timer Timer;
   boost::asio::signal_set Signals;
-  std::string Text;
+  std::string LastText;
 };
 
-/// Runs the role until it has stopped gracefully.
+/// Runs the role until it has stopped gracefully. Returns the exit code.
 int runRole(const Settings &Settings, const std::string &File) {
   Metrics counts;
   boost::asio::io_context io;
   caf::actor_system_config config;
   config.set("scheduler.max-threads", 1);
-  // One actor a process has nobody to steal work from; the stealing policy
-  // polls for it all the same.
+  // With a single actor there is no work to steal, but the default
+  // work-stealing policy would still poll for it.
   config.set("scheduler.policy", caf::atom("sharing"));
   caf::actor_system system(config);
   auto shell = makeShell({io, system, Settings, counts});
@@ -187,16 +194,16 @@
   logEvent(LogLevel::Info, "started", {{"version", VersionText}});
   boost::asio::signal_set signals(io, SIGTERM, SIGINT);
   stopOnSignal(signals, *shell);
-  SettingsWatch watch(io, File, *shell);
-  watch.start();
+  SettingsWatcher watcher(io, File, *shell);
+  watcher.start();
   io.run();
   logEvent(LogLevel::Info, "stopped");
   return ExitOk;
 }
 
-int start(int Count, char **Words) {
+int start(int Argc, char **Argv) {
   Options options;
-  if (auto code = readOptions(Count, Words, options))
+  if (auto code = readOptions(Argc, Argv, options))
     return *code;
   SettingsProblem problem;
   auto settings = readSettings(options.SettingsFile, problem);
@@ -217,4 +224,4 @@
 
 } // namespace sassafras
 
-int main(int Count, char **Words) { return sassafras::start(Count, Words); }
+int main(int Argc, char **Argv) { return sassafras::start(Argc, Argv); }
--- a/main/settings_file.cpp
+++ b/main/settings_file.cpp
@@ -15,109 +15,113 @@
 constexpr int64_t MaxBytes = 1'000'000'000;
 constexpr int64_t MsPerSecond = 1000;
 
-/// Reads keys of one TOML table and remembers which were asked for. After
-/// the first problem all further reads do nothing.
-class Reader {
+/// Reads the keys of one TOML table and records which keys were requested, so
+/// that unknown ones can be reported. Only the first error is kept; reads after
+/// it change nothing.
+class TableReader {
 public:
-  Reader(const toml::table &Table, std::string Section,
-         SettingsProblem &Problem)
+  TableReader(const toml::table &Table, std::string Section,
+              SettingsProblem &Problem)
       : Table(Table), Section(std::move(Section)), Problem(Problem) {}
 
-  void text(const char *Key, std::string &Value, bool IsNeeded) {
-    const toml::node *node = take(Key, IsNeeded);
+  void readString(const char *Key, std::string &Value, bool IsRequired) {
+    const toml::node *node = findNode(Key, IsRequired);
     if (!node)
       return;
     auto value = node->value_exact<std::string>();
     if (!value)
-      fail(node, quoted(Key) + " must be a string");
-    else if (value->empty() && IsNeeded)
-      fail(node, quoted(Key) + " must not be empty");
+      fail(node, quoteKey(Key) + " must be a string");
+    else if (value->empty() && IsRequired)
+      fail(node, quoteKey(Key) + " must not be empty");
     else
       Value = *value;
   }
 
   template <class Number>
-  void count(const char *Key, Number &Value, int64_t Least, int64_t Most) {
-    const toml::node *node = take(Key, false);
+  void readInteger(const char *Key, Number &Value, int64_t Min, int64_t Max) {
+    const toml::node *node = findNode(Key, false);
     if (!node)
       return;
     auto value = node->value_exact<int64_t>();
     if (!value)
-      fail(node, quoted(Key) + " must be a whole number");
-    else if (*value < Least || *value > Most)
-      fail(node, quoted(Key) + " must be from " + std::to_string(Least) +
-                     " to " + std::to_string(Most));
+      fail(node, quoteKey(Key) + " must be an integer");
+    else if (*value < Min || *value > Max)
+      fail(node, quoteKey(Key) + " must be from " + std::to_string(Min) +
+                     " to " + std::to_string(Max));
     else
       Value = static_cast<Number>(*value);
   }
 
-  void seconds(const char *Key, Millis &Value) {
+  /// Reads whole seconds.
+  void readSeconds(const char *Key, Millis &Value) {
     int64_t n = Value.count() / MsPerSecond;
-    count(Key, n, 0, MaxCount);
+    readInteger(Key, n, 0, MaxCount);
     Value = Millis(n * MsPerSecond);
   }
 
-  void flag(const char *Key, bool &Value) {
-    const toml::node *node = take(Key, false);
+  void readBool(const char *Key, bool &Value) {
+    const toml::node *node = findNode(Key, false);
     if (!node)
       return;
     auto value = node->value_exact<bool>();
     if (!value)
-      fail(node, quoted(Key) + " must be true or false");
+      fail(node, quoteKey(Key) + " must be true or false");
     else
       Value = *value;
   }
 
-  void price(const char *Key, double &Value) {
-    const toml::node *node = take(Key, false);
+  void readNonNegative(const char *Key, double &Value) {
+    const toml::node *node = findNode(Key, false);
     if (!node)
       return;
     auto value = node->value<double>();
     if (!value || *value < 0)
-      fail(node, quoted(Key) + " must be a number of at least 0");
+      fail(node, quoteKey(Key) + " must be a non-negative number");
     else
       Value = *value;
   }
 
-  void address(const char *Key, std::string &Value) {
-    text(Key, Value, true);
+  void readAddress(const char *Key, std::string &Value) {
+    readString(Key, Value, true);
     if (!isFailed() && !parseAddress(Value))
-      fail(Table.get(Key), quoted(Key) + " must be IP:port");
+      fail(Table.get(Key), quoteKey(Key) + " must be IP:port");
   }
 
-  void addresses(const char *Key, std::vector<std::string> &Values) {
-    const toml::node *node = take(Key, true);
+  void readAddresses(const char *Key, std::vector<std::string> &Values) {
+    const toml::node *node = findNode(Key, true);
     if (!node)
       return;
     const toml::array *array = node->as_array();
     if (!array || array->empty()) {
-      fail(node, quoted(Key) + " must be a list of IP:port");
+      fail(node,
+           quoteKey(Key) + " must be a non-empty list of IP:port addresses");
       return;
     }
     for (const toml::node &it : *array) {
       auto value = it.value_exact<std::string>();
       if (!value || !parseAddress(*value)) {
-        fail(&it, quoted(Key) + " must be a list of IP:port");
+        fail(&it,
+             quoteKey(Key) + " must be a non-empty list of IP:port addresses");
         return;
       }
       Values.push_back(*value);
     }
   }
 
-  const toml::table *section(const char *Key) {
-    const toml::node *node = take(Key, false);
+  const toml::table *readSection(const char *Key) {
+    const toml::node *node = findNode(Key, false);
     if (!node)
       return nullptr;
     if (!node->as_table())
-      fail(node, quoted(Key) + " must be a table");
+      fail(node, quoteKey(Key) + " must be a table");
     return node->as_table();
   }
 
-  /// Reports the first key that nobody asked for.
-  void finish() {
+  /// Fails on the first key in the table that was not requested.
+  void checkUnknownKeys() {
     for (const auto &[key, node] : Table)
-      if (!Known.contains(std::string(key.str())))
-        fail(&node, "unknown key " + quoted(std::string(key.str())));
+      if (!RequestedKeys.contains(std::string(key.str())))
+        fail(&node, "unknown key " + quoteKey(std::string(key.str())));
   }
 
   void fail(const toml::node *Node, const std::string &Reason) {
@@ -128,32 +132,32 @@
   }
 
   bool isFailed() const { return !Problem.Reason.empty(); }
-  const toml::node *node(const char *Key) const { return Table.get(Key); }
+  const toml::node *getNode(const char *Key) const { return Table.get(Key); }
 
 private:
-  std::string quoted(const std::string &Key) const {
+  std::string quoteKey(const std::string &Key) const {
     return "'" + (Section.empty() ? Key : Section + "." + Key) + "'";
   }
 
-  const toml::node *take(const char *Key, bool IsNeeded) {
-    Known.insert(Key);
+  const toml::node *findNode(const char *Key, bool IsRequired) {
+    RequestedKeys.insert(Key);
     if (isFailed())
       return nullptr;
     const toml::node *node = Table.get(Key);
-    if (!node && IsNeeded)
-      fail(nullptr, quoted(Key) + " is missing");
+    if (!node && IsRequired)
+      fail(nullptr, quoteKey(Key) + " is missing");
     return node;
   }
 
   const toml::table &Table;
   std::string Section;
   SettingsProblem &Problem;
-  std::set<std::string> Known;
+  std::set<std::string> RequestedKeys;
 };
 
-void readRole(Reader &Root, Settings &Out) {
+void readRole(TableReader &Root, Settings &Out) {
   std::string role;
-  Root.text("role", role, true);
+  Root.readString("role", role, true);
   if (Root.isFailed())
     return;
   if (role == "entry")
@@ -167,13 +171,14 @@
   else if (role == "engine_agent")
     Out.Role = NodeRole::EngineAgent;
   else
-    Root.fail(Root.node("role"), "'role' must be entry, control, agent, front "
-                                 "or engine_agent");
+    Root.fail(Root.getNode("role"),
+              "'role' must be entry, control, agent, front "
+              "or engine_agent");
 }
 
-void readLevel(Reader &Root, Settings &Out) {
+void readLevel(TableReader &Root, Settings &Out) {
   std::string level = "info";
-  Root.text("log_level", level, false);
+  Root.readString("log_level", level, false);
   if (level == "debug")
     Out.Level = LogLevel::Debug;
   else if (level == "info")
@@ -183,74 +188,74 @@
   else if (level == "error")
     Out.Level = LogLevel::Error;
   else
-    Root.fail(Root.node("log_level"),
+    Root.fail(Root.getNode("log_level"),
               "'log_level' must be debug, info, warning or error");
 }
 
 void readControl(const toml::table &Table, ControlSettings &Out,
                  SettingsProblem &Problem) {
-  Reader in(Table, "control_role", Problem);
-  in.text("data_folder", Out.DataFolder, true);
-  in.count("loads_per_second", Out.LoadsPerSecond, 1, MaxCount);
-  in.count("loads_at_once", Out.LoadsAtOnce, 1, MaxCount);
-  in.count("adapters_at_once", Out.AdaptersAtOnce, 1, MaxCount);
-  in.count("snapshot_entries", Out.SnapshotEntries, 10, MaxCount);
-  in.seconds("shortest_idle_s", Out.ShortestIdle);
-  in.seconds("longest_idle_s", Out.LongestIdle);
-  in.seconds("load_time_s", Out.LoadTime);
-  in.price("cold_start_price", Out.ColdStartPrice);
-  in.finish();
+  TableReader reader(Table, "control_role", Problem);
+  reader.readString("data_folder", Out.DataFolder, true);
+  reader.readInteger("loads_per_second", Out.LoadsPerSecond, 1, MaxCount);
+  reader.readInteger("loads_at_once", Out.LoadsAtOnce, 1, MaxCount);
+  reader.readInteger("adapters_at_once", Out.AdaptersAtOnce, 1, MaxCount);
+  reader.readInteger("snapshot_entries", Out.SnapshotEntries, 10, MaxCount);
+  reader.readSeconds("shortest_idle_s", Out.ShortestIdle);
+  reader.readSeconds("longest_idle_s", Out.LongestIdle);
+  reader.readSeconds("load_time_s", Out.LoadTime);
+  reader.readNonNegative("cold_start_price", Out.ColdStartPrice);
+  reader.checkUnknownKeys();
 }
 
 void readAgent(const toml::table &Table, AgentSettings &Out,
                SettingsProblem &Problem) {
-  Reader in(Table, "agent_role", Problem);
-  in.count("slots", Out.Slots, 1, MaxCount);
-  in.text("service", Out.Service, false);
-  in.finish();
+  TableReader reader(Table, "agent_role", Problem);
+  reader.readInteger("slots", Out.Slots, 1, MaxCount);
+  reader.readString("service", Out.Service, false);
+  reader.checkUnknownKeys();
 }
 
 void readEntry(const toml::table &Table, EntrySettings &Out,
                SettingsProblem &Problem) {
-  Reader in(Table, "entry_role", Problem);
-  in.count("head_bytes", Out.HeadBytes, 1024, MaxBytes);
-  in.count("body_bytes", Out.BodyBytes, 1024, MaxBytes);
-  in.finish();
+  TableReader reader(Table, "entry_role", Problem);
+  reader.readInteger("head_bytes", Out.HeadBytes, 1024, MaxBytes);
+  reader.readInteger("body_bytes", Out.BodyBytes, 1024, MaxBytes);
+  reader.checkUnknownKeys();
 }
 
 void readFront(const toml::table &Table, FrontSettings &Out,
                SettingsProblem &Problem) {
-  Reader in(Table, "front_role", Problem);
-  in.address("ready", Out.Ready);
-  in.address("control", Out.Control);
-  in.addresses("seeds", Out.Seeds);
-  in.flag("may_form", Out.MayForm);
-  in.text("data_folder", Out.DataFolder, false);
-  in.price("retry_ratio", Out.RetryRatio);
-  in.price("retry_slack", Out.RetrySlack);
-  in.seconds("rate_window_s", Out.RateWindow);
-  in.price("rate_overshoot", Out.RateOvershoot);
-  in.price("rate_slack", Out.RateSlack);
-  in.seconds("stop_grace_s", Out.StopGrace);
-  in.finish();
+  TableReader reader(Table, "front_role", Problem);
+  reader.readAddress("ready", Out.Ready);
+  reader.readAddress("control", Out.Control);
+  reader.readAddresses("seeds", Out.Seeds);
+  reader.readBool("may_form", Out.MayForm);
+  reader.readString("data_folder", Out.DataFolder, false);
+  reader.readNonNegative("retry_ratio", Out.RetryRatio);
+  reader.readNonNegative("retry_slack", Out.RetrySlack);
+  reader.readSeconds("rate_window_s", Out.RateWindow);
+  reader.readNonNegative("rate_overshoot", Out.RateOvershoot);
+  reader.readNonNegative("rate_slack", Out.RateSlack);
+  reader.readSeconds("stop_grace_s", Out.StopGrace);
+  reader.checkUnknownKeys();
 }
 
 void readEngineAgent(const toml::table &Table, EngineAgentSettings &Out,
                      SettingsProblem &Problem) {
-  Reader in(Table, "engine_agent_role", Problem);
-  in.address("engine", Out.Engine);
-  in.addresses("seeds", Out.Seeds);
-  in.finish();
+  TableReader reader(Table, "engine_agent_role", Problem);
+  reader.readAddress("engine", Out.Engine);
+  reader.readAddresses("seeds", Out.Seeds);
+  reader.checkUnknownKeys();
 }
 
-void readSections(Reader &Root, Settings &Out, SettingsProblem &Problem) {
-  const toml::table *control = Root.section("control_role");
-  const toml::table *agent = Root.section("agent_role");
-  const toml::table *entry = Root.section("entry_role");
+void readSections(TableReader &Root, Settings &Out, SettingsProblem &Problem) {
+  const toml::table *control = Root.readSection("control_role");
+  const toml::table *agent = Root.readSection("agent_role");
+  const toml::table *entry = Root.readSection("entry_role");
   if (Out.Role == NodeRole::Control && !control)
     Root.fail(nullptr, "[control_role] is missing");
-  const toml::table *front = Root.section("front_role");
-  const toml::table *engineAgent = Root.section("engine_agent_role");
+  const toml::table *front = Root.readSection("front_role");
+  const toml::table *engineAgent = Root.readSection("engine_agent_role");
   if (Out.Role == NodeRole::Front && !front)
     Root.fail(nullptr, "[front_role] is missing");
   if (Out.Role == NodeRole::EngineAgent && !engineAgent)
@@ -267,18 +272,19 @@
     readEntry(*entry, Out.EntryRole, Problem);
 }
 
-void checkTogether(Reader &Root, const Settings &Out) {
+void checkConsistency(TableReader &Root, const Settings &Out) {
   if (Out.KeySalt.size() < MinSaltLength)
-    Root.fail(Root.node("key_salt"), "'key_salt' needs at least 16 characters");
+    Root.fail(Root.getNode("key_salt"),
+              "'key_salt' must have at least 16 characters");
   if (Out.Control.size() % 2 == 0)
-    Root.fail(Root.node("control"),
-              "'control' needs an odd number of addresses");
+    Root.fail(Root.getNode("control"),
+              "'control' must list an odd number of addresses");
   if (Out.Role != NodeRole::Control)
     return;
   for (const std::string &it : Out.Control)
     if (it == Out.Listen)
       return;
-  Root.fail(Root.node("listen"),
+  Root.fail(Root.getNode("listen"),
             "'listen' of a control process must be in 'control'");
 }
 
@@ -303,24 +309,24 @@
     return std::nullopt;
   }
   Settings out;
-  Reader root(table, "", Problem);
+  TableReader root(table, "", Problem);
   readRole(root, out);
-  root.text("fleet", out.Fleet, true);
-  root.text("node", out.Node, true);
-  root.text("zone", out.Zone, true);
-  root.address("listen", out.Listen);
-  root.address("http", out.Http);
-  bool isPrepared =
+  root.readString("fleet", out.Fleet, true);
+  root.readString("node", out.Node, true);
+  root.readString("zone", out.Zone, true);
+  root.readAddress("listen", out.Listen);
+  root.readAddress("http", out.Http);
+  bool isPlatformManaged =
       out.Role == NodeRole::Front || out.Role == NodeRole::EngineAgent;
-  if (!isPrepared) {
-    root.addresses("control", out.Control);
-    root.text("key_salt", out.KeySalt, true);
+  if (!isPlatformManaged) {
+    root.readAddresses("control", out.Control);
+    root.readString("key_salt", out.KeySalt, true);
   }
   readLevel(root, out);
   readSections(root, out, Problem);
-  root.finish();
-  if (!root.isFailed() && !isPrepared)
-    checkTogether(root, out);
+  root.checkUnknownKeys();
+  if (!root.isFailed() && !isPlatformManaged)
+    checkConsistency(root, out);
   if (root.isFailed())
     return std::nullopt;
   return out;
--- a/main/settings_file.h
+++ b/main/settings_file.h
@@ -1,5 +1,5 @@
 /// \file
-/// Reads settings from TOML and checks every key.
+/// Reads a settings file in TOML and validates every key.
 #ifndef SASSAFRAS_MAIN_SETTINGS_FILE_H
 #define SASSAFRAS_MAIN_SETTINGS_FILE_H
 
@@ -10,18 +10,21 @@
 
 namespace sassafras {
 
-/// What is wrong with a settings file and where.
+/// The first error found in a settings file.
 struct SettingsProblem {
   std::string File;
-  uint32_t Line = 0; ///< 0 when the whole file is meant.
+  uint32_t Line = 0; ///< From 1; 0 when the error belongs to no line.
   std::string Reason;
 };
 
-/// One line for an operator.
+/// Formats \p Problem as `FILE:LINE: REASON`, without the line number when it
+/// is 0.
 std::string describe(const SettingsProblem &Problem);
 
-/// Reads \p File. Nothing, with the cause in \p Problem, when any key is
-/// unknown, missing, of a wrong type or impossible. Thread safe.
+/// Reads the settings at the path \p File. Returns nothing and sets \p Problem
+/// when the file cannot be read or parsed, or when a key is unknown, missing,
+/// of the wrong type or out of range. \p Problem must be empty before the call.
+/// Thread safe.
 std::optional<Settings> readSettings(const std::string &File,
                                      SettingsProblem &Problem);
 
--- a/main/version.h
+++ b/main/version.h
@@ -1,5 +1,5 @@
 /// \file
-/// Version of the programs.
+/// Version that sassafrasd and sassafrasctl report.
 #ifndef SASSAFRAS_MAIN_VERSION_H
 #define SASSAFRAS_MAIN_VERSION_H
 
--- a/tests/main/test_settings_file.cpp
+++ b/tests/main/test_settings_file.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Contract of the settings files: every fault is named with its line.
+/// Tests of reading settings files: each error has a line and a reason.
 #include "main/settings_file.h"
 
 #include <catch2/catch.hpp>
@@ -12,19 +12,19 @@
 
 namespace {
 
-constexpr const char *Good = "role = \"control\"\n"
-                             "fleet = \"f\"\n"
-                             "node = \"n\"\n"
-                             "zone = \"z\"\n"
-                             "listen = \"127.0.0.1:1\"\n"
-                             "http = \"127.0.0.1:2\"\n"
-                             "control = [\"127.0.0.1:1\"]\n"
-                             "key_salt = \"0123456789abcdef\"\n"
-                             "[control_role]\n"
-                             "data_folder = \"d\"\n";
+constexpr const char *ValidSettings = "role = \"control\"\n"
+                                      "fleet = \"f\"\n"
+                                      "node = \"n\"\n"
+                                      "zone = \"z\"\n"
+                                      "listen = \"127.0.0.1:1\"\n"
+                                      "http = \"127.0.0.1:2\"\n"
+                                      "control = [\"127.0.0.1:1\"]\n"
+                                      "key_salt = \"0123456789abcdef\"\n"
+                                      "[control_role]\n"
+                                      "data_folder = \"d\"\n";
 
-struct Change {
-  const char *What;
+struct InvalidCase {
+  const char *Name;
   std::string From;
   std::string To;
   uint32_t Line;
@@ -46,8 +46,8 @@
 
 } // namespace
 
-TEST_CASE("settings name file, line and reason of each fault") {
-  const Change cases[] = {
+TEST_CASE("each invalid settings file is rejected with its line and reason") {
+  const InvalidCase cases[] = {
       {"unknown key", "zone =", "zoned = 1\nzone =", 4, "unknown key 'zoned'"},
       {"unknown key in a table", "data_folder", "folder = 1\ndata_folder", 10,
        "unknown key 'control_role.folder'"},
@@ -74,10 +74,10 @@
       {"not TOML", "zone = ", "zone == ", 4, ""},
   };
   SettingsProblem none;
-  REQUIRE(read(Good, none));
-  for (const Change &it : cases) {
-    INFO(it.What);
-    std::string toml = Good;
+  REQUIRE(read(ValidSettings, none));
+  for (const InvalidCase &it : cases) {
+    INFO(it.Name);
+    std::string toml = ValidSettings;
     size_t at = toml.find(it.From);
     REQUIRE(at != std::string::npos);
     toml.replace(at, it.From.size(), it.To);
@@ -89,7 +89,7 @@
   }
 }
 
-TEST_CASE("sample settings are good") {
+TEST_CASE("sample settings are valid") {
   for (const char *kind : {"bloomline", "fixit"})
     for (const char *role : {"control", "entry", "agent", "service_agent"}) {
       SettingsProblem problem;
