--- a/ctl/log_trace.cpp
+++ b/ctl/log_trace.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-/// Causes are looked for this long before a request's first line: a load from
-/// the store takes several seconds. Milliseconds.
+/// Related events are included from this long before the request began, in
+/// milliseconds: a load from the store takes several seconds.
 constexpr uint64_t LookBackMs = 10'000;
-/// And this long after its last one, for what is noticed late.
+/// And until this long after its last line, for causes that are detected late.
 constexpr uint64_t LookAheadMs = 3'000;
 
-/// Takes one value, quoted or not, from \p At on.
+/// Reads the quoted or unquoted value at \p At and moves \p At past it.
 std::string readValue(const std::string &Text, size_t &At) {
   std::string out;
   if (At == Text.size() || Text[At] != '"') {
@@ -32,75 +32,75 @@
   return out;
 }
 
-std::string fieldOf(const LogLine &Line, const std::string &Name) {
+std::string getField(const LogLine &Line, const std::string &Name) {
   auto it = Line.Fields.find(Name);
   return it == Line.Fields.end() ? std::string() : it->second;
 }
 
-bool isOf(const LogLine &Line, const std::string &Id) {
-  return fieldOf(Line, "id") == Id || fieldOf(Line, "request") == Id;
+bool hasRequestId(const LogLine &Line, const std::string &Id) {
+  return getField(Line, "id") == Id || getField(Line, "request") == Id;
 }
 
-/// What the request's own lines name.
-struct Subject {
+/// Time span of a request and what its own log lines refer to.
+struct RequestContext {
   uint64_t FirstMs = 0;
   uint64_t LastMs = 0;
   std::set<std::string> Models;
-  std::set<std::string> Endpoints; ///< Their ids and addresses.
-  std::set<std::string> Orders;
+  std::set<std::string> Endpoints; ///< Ids and addresses.
+  std::set<std::string> Orders;    ///< Load orders for the models.
 };
 
-Subject gatherSubject(const std::vector<LogLine> &Own) {
-  Subject out;
-  out.FirstMs = Own.front().TimeMs;
-  for (const LogLine &it : Own) {
-    // The time that a line tells of may have begun long before it.
-    std::string total = fieldOf(it, "total_ms");
+RequestContext collectContext(const std::vector<LogLine> &RequestLines) {
+  RequestContext out;
+  out.FirstMs = RequestLines.front().TimeMs;
+  for (const LogLine &it : RequestLines) {
+    // A line with total_ms is logged at the end of the duration it reports.
+    std::string total = getField(it, "total_ms");
     uint64_t ms = 0;
     std::from_chars(total.data(), total.data() + total.size(), ms);
     out.FirstMs = std::min(out.FirstMs, it.TimeMs - std::min(ms, it.TimeMs));
     out.LastMs = std::max(out.LastMs, it.TimeMs);
-    std::string model = fieldOf(it, "model");
+    std::string model = getField(it, "model");
     if (!model.empty())
       out.Models.insert(model.substr(0, model.find('/')));
     for (const char *name : {"endpoint", "address"})
-      if (!fieldOf(it, name).empty())
-        out.Endpoints.insert(fieldOf(it, name));
+      if (!getField(it, name).empty())
+        out.Endpoints.insert(getField(it, name));
   }
   return out;
 }
 
-bool isRelated(const LogLine &Line, const Subject &About) {
-  if (Line.TimeMs + LookBackMs < About.FirstMs ||
-      Line.TimeMs > About.LastMs + LookAheadMs)
+bool isRelated(const LogLine &Line, const RequestContext &Context) {
+  if (Line.TimeMs + LookBackMs < Context.FirstMs ||
+      Line.TimeMs > Context.LastMs + LookAheadMs)
     return false;
-  std::string event = fieldOf(Line, "event");
+  std::string event = getField(Line, "event");
   if (event == "load_planned")
-    return About.Models.contains(fieldOf(Line, "model"));
+    return Context.Models.contains(getField(Line, "model"));
   if (event == "order_received" || event == "engine_order" ||
       event == "order_done")
-    return About.Orders.contains(fieldOf(Line, "order"));
+    return Context.Orders.contains(getField(Line, "order"));
   if (event == "endpoint_changed" || event == "endpoint_paused")
-    return About.Endpoints.contains(fieldOf(Line, "endpoint"));
+    return Context.Endpoints.contains(getField(Line, "endpoint"));
   if (event == "engine_lost" || event == "engine_regained")
-    return About.Endpoints.contains(fieldOf(Line, "engine"));
-  static const std::set<std::string> ofAll{
+    return Context.Endpoints.contains(getField(Line, "engine"));
+  static const std::set<std::string> fleetEvents{
       "group_view", "role_changed", "table_in_force",    "started",
       "stopping",   "disk_failed",  "log_lines_dropped", "node_out_of_view"};
-  return ofAll.contains(event);
+  return fleetEvents.contains(event);
 }
 
-/// Place among lines of the same millisecond: an order is given before it is
+/// Sort order of lines with the same time: an order is planned before it is
 /// received.
-int rankOf(const LogLine &Line) {
-  std::string event = fieldOf(Line, "event");
+int eventRank(const LogLine &Line) {
+  std::string event = getField(Line, "event");
   if (event == "load_planned")
     return 0;
   return event == "order_received" ? 1 : 2;
 }
 
 bool isBefore(const LogLine &A, const LogLine &B) {
-  return std::pair(A.TimeMs, rankOf(A)) < std::pair(B.TimeMs, rankOf(B));
+  return std::pair(A.TimeMs, eventRank(A)) < std::pair(B.TimeMs, eventRank(B));
 }
 
 } // namespace
@@ -140,16 +140,16 @@
                                   const std::string &Id) {
   std::vector<LogLine> out;
   for (const LogLine &it : Lines)
-    if (isOf(it, Id))
+    if (hasRequestId(it, Id))
       out.push_back(it);
   if (out.empty())
     return out;
-  Subject about = gatherSubject(out);
+  RequestContext context = collectContext(out);
   for (const LogLine &it : Lines)
-    if (fieldOf(it, "event") == "load_planned" && isRelated(it, about))
-      about.Orders.insert(fieldOf(it, "order"));
+    if (getField(it, "event") == "load_planned" && isRelated(it, context))
+      context.Orders.insert(getField(it, "order"));
   for (const LogLine &it : Lines)
-    if (!isOf(it, Id) && isRelated(it, about))
+    if (!hasRequestId(it, Id) && isRelated(it, context))
       out.push_back(it);
   std::stable_sort(out.begin(), out.end(), isBefore);
   return out;
--- a/ctl/log_trace.h
+++ b/ctl/log_trace.h
@@ -1,5 +1,5 @@
 /// \file
-/// Joins what several processes logged about one request.
+/// Finds the log lines of several processes that are related to one request.
 #ifndef SASSAFRAS_CTL_LOG_TRACE_H
 #define SASSAFRAS_CTL_LOG_TRACE_H
 
@@ -12,22 +12,24 @@
 
 namespace sassafras {
 
-/// One line of key=value pairs.
+/// One log line of key=value pairs.
 struct LogLine {
-  uint64_t TimeMs = 0; ///< Wall clock of the process that wrote it.
-  std::string Text;
+  uint64_t TimeMs = 0; ///< Wall clock of the process that logged it.
+  std::string Text;    ///< The line from `time_ms=` on.
   std::map<std::string, std::string> Fields;
 };
 
-/// Reads one line, or nothing when it is not one of ours. What stands before
-/// its time, as a collector adds, is left out.
+/// Parses one log line. Returns nothing unless it has a valid time_ms and an
+/// event. Text before `time_ms=`, such as the prefix of a log collector, is
+/// dropped.
 std::optional<LogLine> readLogLine(const std::string &Text);
-/// Appends the lines of \p In that can be part of a trace.
+/// Appends all valid log lines of \p In to \p Out and skips other lines.
 void readLog(std::istream &In, std::vector<LogLine> &Out);
 
-/// In order of time: the lines that carry \p Id, and those of the same time
-/// that tell of its model's loads, its endpoints and the group. Empty when no
-/// line carries \p Id. Pure and thread safe.
+/// Returns, in order of time, the lines with request id \p Id and the lines
+/// from around the same time about loads of its model, its endpoints, the
+/// replicated group and other events of the whole fleet. Empty when no line has
+/// \p Id. Pure and thread safe.
 std::vector<LogLine> traceRequest(const std::vector<LogLine> &Lines,
                                   const std::string &Id);
 
--- a/tests/ctl/test_log_trace.cpp
+++ b/tests/ctl/test_log_trace.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Lines of several processes joined into the story of one request.
+/// Tests of the search for the log lines that are related to one request.
 #include "ctl/log_trace.h"
 
 #include <catch2/catch.hpp>
@@ -8,7 +8,7 @@
 
 using namespace sassafras;
 
-TEST_CASE("log line is read with quoted values and without a prefix") {
+TEST_CASE("log line is parsed with quoted values and without its prefix") {
   auto line = readLogLine("host-3 | time_ms=1700000000123 level=info node=a "
                           "event=x reason=\"a \\\"b\\\" c=d\" id=7 empty=");
   REQUIRE(line);
@@ -19,7 +19,7 @@
   CHECK(line->Fields.at("empty").empty());
 }
 
-TEST_CASE("what is no log line is left out") {
+TEST_CASE("lines that are not valid log lines are rejected") {
   for (const char *it : {"", "hello", "time_ms=x event=y", "time_ms=1 level=z",
                          "time_ms= event=x", "time_ms=\"1"}) {
     INFO(it);
