--- a/ctl/client.cpp
+++ b/ctl/client.cpp
@@ -13,11 +13,12 @@
 
 namespace {
 
-constexpr Millis WaitSlice{50};
+/// Longest wait for a message before the deadline is checked again.
+constexpr Millis PollInterval{50};
 
-/// Inner addresses of some members of the replicated group, by the settings
-/// of any process of the fleet.
-std::vector<std::string> groupAddresses(const Settings &Options) {
+/// Returns the internal addresses of some members of the replicated group, from
+/// the settings of any process of the fleet.
+std::vector<std::string> listMemberAddresses(const Settings &Options) {
   std::vector<std::string> out = Options.Control;
   const std::vector<std::string> &seeds = Options.Role == NodeRole::Front
                                               ? Options.FrontRole.Seeds
@@ -30,22 +31,26 @@
 } // namespace
 
 struct ControlClient::Impl {
-  Impl(const Settings &Options, Millis Limit)
-      : Options(Options), Limit(Limit), Targets(groupAddresses(Options)),
+  Impl(const Settings &Options, Millis Timeout)
+      : Options(Options), Timeout(Timeout),
+        Targets(listMemberAddresses(Options)),
         Peers(Io,
               LinkSelf{Options.Fleet, "ctl", drawIncarnation(), localAddress()},
               Counts, [this](wire::Envelope Message) {
                 Inbox.push_back(std::move(Message));
               }) {}
 
-  /// The control addresses tell by which interface the fleet is reached.
+  /// Returns the address to listen on. The first member's address shows by
+  /// which interface the fleet is reached: for a fleet on loopback it is
+  /// loopback with any free port, else the configured address.
   std::string localAddress() const {
     const std::string &peer = Targets.front();
     bool isLocal = peer.starts_with("127.");
     return isLocal ? "127.0.0.1:0" : Options.Listen;
   }
 
-  /// The leader need not be one of the nodes that the settings name.
+  /// Adds \p Address unless it is empty or known. The leader need not be one
+  /// of the nodes that the settings list.
   void addTarget(const std::string &Address) {
     bool isKnown = Address.empty() || std::find(Targets.begin(), Targets.end(),
                                                 Address) != Targets.end();
@@ -53,33 +58,34 @@
       Targets.push_back(Address);
   }
 
-  /// Sends to all control processes every so often until \p Take is content
-  /// with an answer.
-  bool ask(const wire::Envelope &Question,
-           const std::function<bool(const wire::Envelope &)> &Take) {
-    TimePoint deadline = Clock::now() + Limit;
+  /// Sends \p Request to all targets and resends it every
+  /// timing::ProposalRetry until \p Accept returns true for a received message.
+  /// Returns false when the time is up.
+  bool exchange(const wire::Envelope &Request,
+                const std::function<bool(const wire::Envelope &)> &Accept) {
+    TimePoint deadline = Clock::now() + Timeout;
     TimePoint nextSend;
     while (!isPast(deadline, Clock::now())) {
       if (isPast(nextSend, Clock::now())) {
         for (const std::string &it : Targets)
-          Peers.send(it, Question);
+          Peers.send(it, Request);
         nextSend = Clock::now() + timing::ProposalRetry;
       }
       Io.restart();
-      Io.run_one_for(WaitSlice);
+      Io.run_one_for(PollInterval);
       std::vector<wire::Envelope> inbox = std::move(Inbox);
       Inbox.clear();
       for (const wire::Envelope &it : inbox)
-        if (Take(it))
+        if (Accept(it))
           return true;
     }
     return false;
   }
 
   Settings Options;
-  Millis Limit;
-  std::vector<std::string> Targets; ///< Inner addresses of members.
-  std::map<std::string, wire::StatusReply> Others;
+  Millis Timeout;
+  std::vector<std::string> Targets; ///< Internal addresses of members.
+  std::map<std::string, wire::StatusReply> OtherReplies;
   boost::asio::io_context Io;
   Metrics Counts;
   std::vector<wire::Envelope> Inbox;
@@ -88,8 +94,8 @@
   uint64_t NextRequest = drawIdentity();
 };
 
-ControlClient::ControlClient(const Settings &Options, Millis Limit)
-    : Data(std::make_unique<Impl>(Options, Limit)) {
+ControlClient::ControlClient(const Settings &Options, Millis Timeout)
+    : Data(std::make_unique<Impl>(Options, Timeout)) {
   Data->Peers.start(Data->Problem);
 }
 
@@ -97,55 +103,56 @@
 
 std::optional<wire::StatusReply>
 ControlClient::status(const std::string &Prefix) {
-  wire::Envelope question;
-  wire::StatusRequest &request = *question.mutable_status_request();
+  wire::Envelope envelope;
+  wire::StatusRequest &request = *envelope.mutable_status_request();
   request.set_request_id(std::to_string(Data->NextRequest++));
   request.set_with_items(!Prefix.empty());
   request.set_prefix(Prefix);
-  std::optional<wire::StatusReply> answer;
-  Data->Others.clear();
-  Data->ask(question, [&](const wire::Envelope &It) {
+  std::optional<wire::StatusReply> result;
+  Data->OtherReplies.clear();
+  Data->exchange(envelope, [&](const wire::Envelope &It) {
     if (!It.has_status_reply() ||
         It.status_reply().request_id() != request.request_id())
       return false;
     const wire::StatusReply &reply = It.status_reply();
     if (!reply.is_leader()) {
-      Data->Others[reply.node()] = reply;
+      Data->OtherReplies[reply.node()] = reply;
       Data->addTarget(reply.leader_address());
       return false;
     }
-    answer = reply;
+    result = reply;
     return true;
   });
-  return answer;
+  return result;
 }
 
-const std::map<std::string, wire::StatusReply> &ControlClient::others() const {
-  return Data->Others;
+const std::map<std::string, wire::StatusReply> &
+ControlClient::otherReplies() const {
+  return Data->OtherReplies;
 }
 
 std::optional<wire::ProposalReply>
 ControlClient::propose(wire::Command Command) {
-  // The operation's id makes repeated sending of one command harmless.
+  // The operation id makes resends of one command idempotent.
   if (Command.operation_id().empty())
     Command.set_operation_id("ctl-" + std::to_string(drawIdentity()));
-  wire::Envelope question;
-  question.mutable_proposal()->set_request_id(
+  wire::Envelope envelope;
+  envelope.mutable_proposal()->set_request_id(
       std::to_string(Data->NextRequest++));
-  *question.mutable_proposal()->mutable_command() = std::move(Command);
-  std::optional<wire::ProposalReply> answer;
-  Data->ask(question, [&](const wire::Envelope &It) {
+  *envelope.mutable_proposal()->mutable_command() = std::move(Command);
+  std::optional<wire::ProposalReply> result;
+  Data->exchange(envelope, [&](const wire::Envelope &It) {
     if (!It.has_proposal_reply())
       return false;
     const wire::ProposalReply &reply = It.proposal_reply();
-    bool isDecided = reply.request_id() == question.proposal().request_id() &&
+    bool isDecided = reply.request_id() == envelope.proposal().request_id() &&
                      reply.status() != wire::PROPOSAL_NOT_LEADER &&
                      reply.status() != wire::PROPOSAL_OVERLOADED;
     if (isDecided)
-      answer = reply;
+      result = reply;
     return isDecided;
   });
-  return answer;
+  return result;
 }
 
 } // namespace sassafras
--- a/ctl/commands.cpp
+++ b/ctl/commands.cpp
@@ -21,12 +21,12 @@
 
 namespace json = boost::json;
 
-constexpr Millis CallLimit{10'000};
-constexpr Millis InForceLimit{20'000};
-constexpr Millis InForcePoll{100};
+constexpr Millis CallTimeout{10'000};
+constexpr Millis InForceTimeout{20'000};
+constexpr Millis InForcePollInterval{100};
 
-/// What every command works with.
-struct Tool {
+/// Settings, options and client that all commands use.
+struct CommandContext {
   const Settings &Config;
   const ToolOptions &Options;
   ControlClient Client;
@@ -37,16 +37,17 @@
   return Code;
 }
 
-/// No leader: each member that answers says what it waits for.
-ToolExit unreachable(const Tool &Tool) {
-  for (const auto &[node, status] : Tool.Client.others())
+/// Fails because no leader replied. First prints what each other member that
+/// replied is waiting for.
+ToolExit failUnreachable(const CommandContext &Context) {
+  for (const auto &[node, status] : Context.Client.otherReplies())
     if (!status.waits_for().empty())
       std::cerr << "sassafrasctl: " << node << " has no leader and waits for "
                 << status.waits_for() << '\n';
   return fail(ToolExit::Unreachable, "no leader answered in time");
 }
 
-std::vector<wire::TableRow> rowsOf(const wire::StatusReply &Reply) {
+std::vector<wire::TableRow> listRows(const wire::StatusReply &Reply) {
   std::vector<wire::TableRow> rows;
   for (const wire::Item &it : Reply.items())
     rows.push_back(it.row());
@@ -59,68 +60,70 @@
 
 // ---- Changes ----
 
-/// Waits until every node has the change or its lease has ended.
-ToolExit waitInForce(Tool &Tool, uint64_t Version) {
-  TimePoint deadline = Clock::now() + InForceLimit;
-  std::string missing;
+/// Waits until each node has applied \p Version or its lease has expired. On a
+/// time-out, prints the nodes that have not applied it.
+ToolExit waitInForce(CommandContext &Context, uint64_t Version) {
+  TimePoint deadline = Clock::now() + InForceTimeout;
+  std::string nodesBehind;
   while (!isPast(deadline, Clock::now())) {
-    auto status = Tool.Client.status("");
+    auto status = Context.Client.status("");
     if (status && status->in_force_version() >= Version)
       return ToolExit::Ok;
-    missing.clear();
+    nodesBehind.clear();
     if (status)
       for (const wire::NodeStatus &it : status->nodes())
         if (it.applied_version() < Version)
-          missing += " " + it.name();
-    std::this_thread::sleep_for(InForcePoll);
+          nodesBehind += " " + it.name();
+    std::this_thread::sleep_for(InForcePollInterval);
   }
   return fail(ToolExit::Unreachable,
-              "accepted, but not yet in force; missing:" + missing);
+              "accepted, but not yet in force; not applied by:" + nodesBehind);
 }
 
-ToolExit finishChange(Tool &Tool,
+ToolExit finishChange(CommandContext &Context,
                       const std::optional<wire::ProposalReply> &Reply,
-                      json::object Extra) {
+                      json::object Details) {
   if (!Reply)
-    return unreachable(Tool);
+    return failUnreachable(Context);
   if (Reply->status() == wire::PROPOSAL_CONFLICT)
     return fail(ToolExit::Conflict, Reply->reason());
   if (Reply->status() != wire::PROPOSAL_ACCEPTED)
     return fail(ToolExit::Refused, Reply->reason());
-  if (Tool.Options.IsWaiting) {
-    ToolExit code = waitInForce(Tool, Reply->version());
+  if (Context.Options.WaitsUntilInForce) {
+    ToolExit code = waitInForce(Context, Reply->version());
     if (code != ToolExit::Ok)
       return code;
   }
-  const char *state = Tool.Options.IsWaiting ? "in force" : "accepted";
-  if (Tool.Options.IsJson) {
-    Extra["state"] = state;
-    Extra["version"] = Reply->version();
-    Extra["table_version"] = Reply->table_version();
-    printObject(Extra);
+  const char *state =
+      Context.Options.WaitsUntilInForce ? "in force" : "accepted";
+  if (Context.Options.IsJson) {
+    Details["state"] = state;
+    Details["version"] = Reply->version();
+    Details["table_version"] = Reply->table_version();
+    printObject(Details);
     return ToolExit::Ok;
   }
   std::cout << state << ", table version " << Reply->table_version() << '\n';
-  for (const auto &it : Extra)
+  for (const auto &it : Details)
     std::cout << std::string_view(it.key().data(), it.key().size()) << ' '
               << it.value().as_string().c_str() << '\n';
   return ToolExit::Ok;
 }
 
-wire::Command makeCommand(const Tool &Tool) {
+wire::Command makeCommand(const CommandContext &Context) {
   wire::Command command;
-  command.set_operation_id(Tool.Options.OperationId);
+  command.set_operation_id(Context.Options.OperationId);
   return command;
 }
 
 // ---- Table ----
 
-ToolExit getTable(Tool &Tool) {
-  auto status = Tool.Client.status("row/");
+ToolExit getTable(CommandContext &Context) {
+  auto status = Context.Client.status("row/");
   if (!status)
-    return unreachable(Tool);
-  std::string csv = printTable(rowsOf(*status));
-  if (!Tool.Options.IsJson) {
+    return failUnreachable(Context);
+  std::string csv = printTable(listRows(*status));
+  if (!Context.Options.IsJson) {
     std::cerr << "version " << status->table_version() << '\n';
     std::cout << csv;
     return ToolExit::Ok;
@@ -150,37 +153,37 @@
   return rows;
 }
 
-ToolExit putTable(Tool &Tool, const std::string &File) {
+ToolExit putTable(CommandContext &Context, const std::string &File) {
   std::string reason;
   auto rows = readTable(File, reason);
   if (!rows)
     return fail(ToolExit::Usage, reason);
   uint64_t base = 0;
-  if (Tool.Options.Base) {
-    base = *Tool.Options.Base;
+  if (Context.Options.BaseVersion) {
+    base = *Context.Options.BaseVersion;
   } else {
-    auto status = Tool.Client.status("");
+    auto status = Context.Client.status("");
     if (!status)
-      return unreachable(Tool);
+      return failUnreachable(Context);
     base = status->table_version();
   }
-  wire::Command command = makeCommand(Tool);
+  wire::Command command = makeCommand(Context);
   command.mutable_table_edit()->set_base_version(base);
   for (const wire::TableRow &it : *rows)
     *command.mutable_table_edit()->add_rows() = it;
-  return finishChange(Tool, Tool.Client.propose(std::move(command)), {});
+  return finishChange(Context, Context.Client.propose(std::move(command)), {});
 }
 
-ToolExit diffTable(Tool &Tool, const std::string &File) {
+ToolExit diffTable(CommandContext &Context, const std::string &File) {
   std::string reason;
   auto rows = readTable(File, reason);
   if (!rows)
     return fail(ToolExit::Usage, reason);
-  auto status = Tool.Client.status("row/");
+  auto status = Context.Client.status("row/");
   if (!status)
-    return unreachable(Tool);
+    return failUnreachable(Context);
   std::map<std::string, std::string> old;
-  for (const wire::TableRow &it : rowsOf(*status))
+  for (const wire::TableRow &it : listRows(*status))
     old[it.name()] = it.SerializeAsString();
   for (const wire::TableRow &it : *rows) {
     auto known = old.find(it.name());
@@ -197,37 +200,38 @@
 
 // ---- Keys ----
 
-ToolExit grantKey(Tool &Tool, const std::string &Tenant) {
+ToolExit grantKey(CommandContext &Context, const std::string &Organisation) {
   std::string key = drawKey();
-  wire::Command command = makeCommand(Tool);
+  wire::Command command = makeCommand(Context);
   wire::KeyGrant &grant = *command.mutable_key_grant();
-  grant.set_tenant(Tenant);
-  grant.set_key_hash(hashKey(Tool.Config.KeySalt, key));
-  std::string id = Tool.Options.KeyId;
+  grant.set_tenant(Organisation);
+  grant.set_key_hash(hashKey(Context.Config.KeySalt, key));
+  std::string id = Context.Options.KeyId;
   grant.set_key_id(id.empty() ? grant.key_hash().substr(0, 12) : id);
-  json::object extra{{"id", grant.key_id()}, {"key", key}};
-  return finishChange(Tool, Tool.Client.propose(std::move(command)), extra);
+  json::object details{{"id", grant.key_id()}, {"key", key}};
+  return finishChange(Context, Context.Client.propose(std::move(command)),
+                      details);
 }
 
-ToolExit withdrawKey(Tool &Tool, const std::string &Id) {
-  wire::Command command = makeCommand(Tool);
+ToolExit withdrawKey(CommandContext &Context, const std::string &Id) {
+  wire::Command command = makeCommand(Context);
   command.mutable_key_withdraw()->set_key_id(Id);
-  return finishChange(Tool, Tool.Client.propose(std::move(command)), {});
+  return finishChange(Context, Context.Client.propose(std::move(command)), {});
 }
 
-ToolExit listKeys(Tool &Tool) {
-  auto status = Tool.Client.status("key/");
+ToolExit listKeys(CommandContext &Context) {
+  auto status = Context.Client.status("key/");
   if (!status)
-    return unreachable(Tool);
+    return failUnreachable(Context);
   json::array list;
   for (const wire::Item &it : status->items()) {
-    if (Tool.Options.IsJson)
+    if (Context.Options.IsJson)
       list.push_back(
           {{"id", it.key().key_id()}, {"organisation", it.key().tenant()}});
     else
       std::cout << it.key().key_id() << ' ' << it.key().tenant() << '\n';
   }
-  if (Tool.Options.IsJson)
+  if (Context.Options.IsJson)
     std::cout << json::serialize(list) << '\n';
   return ToolExit::Ok;
 }
@@ -247,7 +251,7 @@
   }
 }
 
-const char *stateOf(const wire::Endpoint &Endpoint) {
+const char *endpointState(const wire::Endpoint &Endpoint) {
   if (Endpoint.leaving())
     return "leaving";
   return Endpoint.ready() ? "ready" : "silent";
@@ -299,27 +303,29 @@
               << " ms\n";
 }
 
-ToolExit showStatus(Tool &Tool) {
-  auto status = Tool.Client.status("");
+ToolExit showStatus(CommandContext &Context) {
+  auto status = Context.Client.status("");
   if (!status)
-    return unreachable(Tool);
-  if (Tool.Options.IsJson)
+    return failUnreachable(Context);
+  if (Context.Options.IsJson)
     printObject(describeStatus(*status));
   else
     printStatus(*status);
   return ToolExit::Ok;
 }
 
-ToolExit listReplicas(Tool &Tool, const std::string &Row) {
-  auto status = Tool.Client.status("replica/");
+/// Prints the replicas of \p Row and of the adapters based on it, or all
+/// replicas when \p Row is empty.
+ToolExit listReplicas(CommandContext &Context, const std::string &Row) {
+  auto status = Context.Client.status("replica/");
   if (!status)
-    return unreachable(Tool);
+    return failUnreachable(Context);
   json::array list;
   for (const wire::Item &it : status->items()) {
     const wire::Replica &replica = it.replica();
     if (!Row.empty() && replica.row() != Row && replica.base() != Row)
       continue;
-    if (Tool.Options.IsJson)
+    if (Context.Options.IsJson)
       list.push_back({{"row", replica.row()},
                       {"endpoint", replica.endpoint()},
                       {"phase", phaseName(replica.phase())},
@@ -330,35 +336,35 @@
                 << phaseName(replica.phase()) << ' ' << replica.memory_mb()
                 << " MB\n";
   }
-  if (Tool.Options.IsJson)
+  if (Context.Options.IsJson)
     std::cout << json::serialize(list) << '\n';
   return ToolExit::Ok;
 }
 
 std::string
-joinNames(const google::protobuf::RepeatedPtrField<std::string> &It) {
+joinNames(const google::protobuf::RepeatedPtrField<std::string> &Names) {
   std::string out;
-  for (const std::string &name : It)
+  for (const std::string &name : Names)
     out += (out.empty() ? "" : ",") + name;
   return out;
 }
 
-json::object describeEndpoint(const wire::EndpointStatus &It) {
-  return {{"name", It.id()},
-          {"service", It.service()},
-          {"zone", It.zone()},
-          {"address", It.address()},
-          {"state", It.state()},
-          {"active", It.active()},
-          {"queued", It.queued()},
-          {"slots", It.slots()},
-          {"report_age_ms", It.report_age_ms()},
-          {"models", joinNames(It.models())},
-          {"in_memory", joinNames(It.in_memory())},
-          {"on_disk", joinNames(It.on_disk())}};
+json::object describeEndpoint(const wire::EndpointStatus &Status) {
+  return {{"name", Status.id()},
+          {"service", Status.service()},
+          {"zone", Status.zone()},
+          {"address", Status.address()},
+          {"state", Status.state()},
+          {"active", Status.active()},
+          {"queued", Status.queued()},
+          {"slots", Status.slots()},
+          {"report_age_ms", Status.report_age_ms()},
+          {"models", joinNames(Status.models())},
+          {"in_memory", joinNames(Status.in_memory())},
+          {"on_disk", joinNames(Status.on_disk())}};
 }
 
-/// Endpoints as the leading front sees them.
+/// Prints the endpoints as the leading front reports them.
 void printFrontEndpoints(const wire::StatusReply &Status, bool IsJson) {
   json::array list;
   for (const wire::EndpointStatus &it : Status.endpoints()) {
@@ -374,101 +380,104 @@
     std::cout << json::serialize(list) << '\n';
 }
 
-ToolExit listEndpoints(Tool &Tool) {
-  auto status = Tool.Client.status("endpoint/");
+ToolExit listEndpoints(CommandContext &Context) {
+  auto status = Context.Client.status("endpoint/");
   if (!status)
-    return unreachable(Tool);
-  bool isOfFronts = Tool.Config.Role == NodeRole::Front ||
-                    Tool.Config.Role == NodeRole::EngineAgent;
-  if (isOfFronts) {
-    printFrontEndpoints(*status, Tool.Options.IsJson);
+    return failUnreachable(Context);
+  bool isFrontFleet = Context.Config.Role == NodeRole::Front ||
+                      Context.Config.Role == NodeRole::EngineAgent;
+  if (isFrontFleet) {
+    printFrontEndpoints(*status, Context.Options.IsJson);
     return ToolExit::Ok;
   }
   json::array list;
   for (const wire::Item &it : status->items()) {
     const wire::Endpoint &endpoint = it.endpoint();
-    if (Tool.Options.IsJson)
+    if (Context.Options.IsJson)
       list.push_back({{"name", endpoint.name()},
                       {"zone", endpoint.zone()},
-                      {"state", stateOf(endpoint)},
+                      {"state", endpointState(endpoint)},
                       {"service", endpoint.service()},
                       {"memory_mb", endpoint.memory_mb()}});
     else
       std::cout << endpoint.name() << ' ' << endpoint.zone() << ' '
-                << stateOf(endpoint) << ' ' << endpoint.memory_mb() << " MB\n";
+                << endpointState(endpoint) << ' ' << endpoint.memory_mb()
+                << " MB\n";
   }
-  if (Tool.Options.IsJson)
+  if (Context.Options.IsJson)
     std::cout << json::serialize(list) << '\n';
   return ToolExit::Ok;
 }
 
-/// Why a row is where it is, or why it is nowhere.
-ToolExit explainRow(Tool &Tool, const std::string &Row) {
-  auto status = Tool.Client.status("row/" + Row);
+/// Prints the limits of a row and where it is loaded.
+ToolExit explainRow(CommandContext &Context, const std::string &Row) {
+  auto status = Context.Client.status("row/" + Row);
   if (!status)
-    return unreachable(Tool);
+    return failUnreachable(Context);
   const wire::TableRow *row = nullptr;
   for (const wire::Item &it : status->items())
     if (it.row().name() == Row)
       row = &it.row();
   if (!row)
     return fail(ToolExit::Refused, "the table has no row " + Row);
-  if (!Tool.Options.IsJson)
+  if (!Context.Options.IsJson)
     std::cout << Row << ": at most " << row->max_replicas() << " replicas of "
               << row->memory_mb() << " MB, longest wait "
               << row->longest_wait_ms() << " ms\n";
-  return listReplicas(Tool, Row);
+  return listReplicas(Context, Row);
 }
 
 } // namespace
 
 ToolExit runCommand(const Settings &Settings, const ToolOptions &Options,
-                    const std::vector<std::string> &Words) {
-  auto is = [&](std::initializer_list<std::string_view> Names, size_t Extra) {
-    return Words.size() == Names.size() + Extra &&
-           std::equal(Names.begin(), Names.end(), Words.begin());
+                    const std::vector<std::string> &Arguments) {
+  auto matches = [&](std::initializer_list<std::string_view> Names,
+                     size_t Operands) {
+    return Arguments.size() == Names.size() + Operands &&
+           std::equal(Names.begin(), Names.end(), Arguments.begin());
   };
-  Tool tool{Settings, Options, ControlClient(Settings, CallLimit)};
-  if (is({"table", "get"}, 0))
-    return getTable(tool);
-  if (is({"table", "put"}, 1))
-    return putTable(tool, Words.back());
-  if (is({"table", "diff"}, 1))
-    return diffTable(tool, Words.back());
-  if (is({"key", "grant"}, 1))
-    return grantKey(tool, Words.back());
-  if (is({"key", "withdraw"}, 1))
-    return withdrawKey(tool, Words.back());
-  if (is({"key", "list"}, 0))
-    return listKeys(tool);
-  if (is({"status"}, 0))
-    return showStatus(tool);
-  if (is({"endpoints"}, 0))
-    return listEndpoints(tool);
-  if (is({"replicas"}, 0))
-    return listReplicas(tool, "");
-  if (is({"explain"}, 1))
-    return explainRow(tool, Words.back());
+  CommandContext context{Settings, Options,
+                         ControlClient(Settings, CallTimeout)};
+  if (matches({"table", "get"}, 0))
+    return getTable(context);
+  if (matches({"table", "put"}, 1))
+    return putTable(context, Arguments.back());
+  if (matches({"table", "diff"}, 1))
+    return diffTable(context, Arguments.back());
+  if (matches({"key", "grant"}, 1))
+    return grantKey(context, Arguments.back());
+  if (matches({"key", "withdraw"}, 1))
+    return withdrawKey(context, Arguments.back());
+  if (matches({"key", "list"}, 0))
+    return listKeys(context);
+  if (matches({"status"}, 0))
+    return showStatus(context);
+  if (matches({"endpoints"}, 0))
+    return listEndpoints(context);
+  if (matches({"replicas"}, 0))
+    return listReplicas(context, "");
+  if (matches({"explain"}, 1))
+    return explainRow(context, Arguments.back());
   return fail(ToolExit::Usage, "unknown command; see --help");
 }
 
-ToolExit explainRequest(const std::vector<std::string> &Words) {
+ToolExit explainRequest(const std::vector<std::string> &Arguments) {
   std::vector<LogLine> lines;
-  for (size_t i = 2; i < Words.size(); ++i) {
-    if (Words[i] == "-") {
+  for (size_t i = 2; i < Arguments.size(); ++i) {
+    if (Arguments[i] == "-") {
       readLog(std::cin, lines);
       continue;
     }
-    std::ifstream in(Words[i]);
+    std::ifstream in(Arguments[i]);
     if (!in)
-      return fail(ToolExit::Usage, "cannot read " + Words[i]);
+      return fail(ToolExit::Usage, "cannot read " + Arguments[i]);
     readLog(in, lines);
   }
-  auto trace = traceRequest(lines, Words[1]);
+  auto trace = traceRequest(lines, Arguments[1]);
   if (trace.empty())
-    return fail(ToolExit::Refused, "no line of " +
-                                       std::to_string(lines.size()) +
-                                       " tells of request " + Words[1]);
+    return fail(ToolExit::Refused, "none of " + std::to_string(lines.size()) +
+                                       " log lines belongs to request " +
+                                       Arguments[1]);
   for (const LogLine &it : trace)
     std::cout << it.Text << '\n';
   return ToolExit::Ok;
--- a/ctl/commands.h
+++ b/ctl/commands.h
@@ -1,5 +1,5 @@
 /// \file
-/// The operator's commands.
+/// Commands of the operator's tool.
 #ifndef SASSAFRAS_CTL_COMMANDS_H
 #define SASSAFRAS_CTL_COMMANDS_H
 
@@ -11,29 +11,32 @@
 
 namespace sassafras {
 
-/// Exit codes of the tool.
+/// Exit codes of sassafrasctl.
 enum class ToolExit {
   Ok = 0,
-  Refused = 1,     ///< The fleet said no; the reason is printed.
-  Usage = 2,       ///< The command or a file is wrong.
-  Unreachable = 3, ///< No leader answered in time.
-  Conflict = 4,    ///< Another version stands: read it and try again.
+  Refused = 1,     ///< The fleet refused the command; the reason is printed.
+  Usage = 2,       ///< The command line or an input file is invalid.
+  Unreachable = 3, ///< No leader replied, or the change is not yet in force.
+  Conflict = 4,    ///< Stale base version, or the key or its id is taken.
 };
 
 struct ToolOptions {
   bool IsJson = false;
-  bool IsWaiting = false;       ///< Until the change is in force.
-  std::optional<uint64_t> Base; ///< Version that an edit is based on.
-  std::string OperationId;      ///< Given by the operator for a resend.
-  std::string KeyId;
+  bool WaitsUntilInForce = false; ///< Return only after the change is in force.
+  /// Table version that an edit is based on.
+  std::optional<uint64_t> BaseVersion;
+  std::string OperationId; ///< Makes a resent command idempotent.
+  std::string KeyId;       ///< Id of the key to grant; empty for a derived one.
 };
 
-/// Runs the command in \p Words and prints to the standard streams.
+/// Runs the command in \p Arguments. Prints results to standard output and
+/// errors to standard error.
 ToolExit runCommand(const Settings &Settings, const ToolOptions &Options,
-                    const std::vector<std::string> &Words);
+                    const std::vector<std::string> &Arguments);
 
-/// `explain ID LOG...`: prints what the logs tell of one request.
-ToolExit explainRequest(const std::vector<std::string> &Words);
+/// Runs `explain ID LOG...`: prints the log lines that are related to one
+/// request. A LOG of `-` is the standard input.
+ToolExit explainRequest(const std::vector<std::string> &Arguments);
 
 } // namespace sassafras
 
--- a/ctl/main.cpp
+++ b/ctl/main.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The operator's tool.
+/// sassafrasctl, the operator's tool.
 #include "core/logging.h"
 #include "ctl/commands.h"
 #include "main/settings_file.h"
@@ -18,27 +18,27 @@
     "usage: sassafrasctl --settings FILE [OPTIONS] COMMAND\n"
     "commands:\n"
     "  table get                print the table as CSV\n"
-    "  table put FILE           replace the table by FILE\n"
-    "  table diff FILE          rows that FILE would change\n"
-    "  key grant ORGANISATION   make a key and print it once\n"
-    "  key withdraw ID          end a key\n"
-    "  key list                 keys by id\n"
-    "  status                   leader, members, nodes, versions\n"
-    "  endpoints                endpoints and their state\n"
-    "  replicas                 what is loaded where\n"
-    "  explain ROW              limits of a row and where it is loaded\n"
-    "  explain ID LOG...        what the logs tell of a request; - is the\n"
-    "                           standard input; needs no settings\n"
-    "  check SETTINGS           check a settings file\n"
+    "  table put FILE           replace the table with FILE\n"
+    "  table diff FILE          list the rows that FILE would change\n"
+    "  key grant ORGANISATION   create a key and print it once\n"
+    "  key withdraw ID          revoke a key\n"
+    "  key list                 list key ids and organisations\n"
+    "  status                   show leader, members, nodes, versions\n"
+    "  endpoints                list endpoints and their state\n"
+    "  replicas                 list what is loaded on each endpoint\n"
+    "  explain ROW              show a row's limits and where it is loaded\n"
+    "  explain ID LOG...        print the log lines related to a request;\n"
+    "                           - is standard input; needs no settings\n"
+    "  check SETTINGS           validate a settings file\n"
     "options:\n"
     "  -s, --settings FILE      settings of any process of the fleet\n"
     "  -j, --json               print JSON\n"
-    "  -w, --wait               until the change is in force everywhere\n"
+    "  -w, --wait               wait until the change is in force everywhere\n"
     "  -b, --base VERSION       table version that the edit is based on\n"
-    "  -o, --operation ID       id of the operation, to resend it safely\n"
-    "  -i, --id ID              id for a granted key\n"
-    "  -h, --help               this text\n"
-    "  -v, --version            version\n"
+    "  -o, --operation ID       operation id, which makes resends idempotent\n"
+    "  -i, --id ID              id of the key to grant\n"
+    "  -h, --help               print this help and exit\n"
+    "  -v, --version            print the version and exit\n"
     "exit codes: 0 done, 1 refused, 2 usage, 3 no leader, 4 conflict\n";
 
 const option LongOptions[] = {
@@ -56,7 +56,7 @@
 struct CommandLine {
   std::string SettingsFile;
   ToolOptions Options;
-  std::vector<std::string> Words;
+  std::vector<std::string> Arguments;
 };
 
 ToolExit showUsage() {
@@ -68,14 +68,16 @@
   uint64_t n = 0;
   const char *last = Text + std::strlen(Text);
   auto [end, ec] = std::from_chars(Text, last, n);
-  Out.Base = n;
+  Out.BaseVersion = n;
   return ec == std::errc() && end == last;
 }
 
-/// Reads the command line; a value is the code to exit with at once.
-std::optional<ToolExit> readLine(int Count, char **Words, CommandLine &Out) {
+/// Parses the command line into \p Out. Returns an exit code when the process
+/// has to exit at once.
+std::optional<ToolExit> readCommandLine(int Argc, char **Argv,
+                                        CommandLine &Out) {
   int code = 0;
-  while ((code = getopt_long(Count, Words, "s:jwb:o:i:hv", LongOptions,
+  while ((code = getopt_long(Argc, Argv, "s:jwb:o:i:hv", LongOptions,
                              nullptr)) != -1) {
     switch (code) {
     case 's':
@@ -85,7 +87,7 @@
       Out.Options.IsJson = true;
       break;
     case 'w':
-      Out.Options.IsWaiting = true;
+      Out.Options.WaitsUntilInForce = true;
       break;
     case 'b':
       if (!readVersion(optarg, Out.Options))
@@ -107,20 +109,20 @@
       return showUsage();
     }
   }
-  Out.Words.assign(Words + optind, Words + Count);
+  Out.Arguments.assign(Argv + optind, Argv + Argc);
   return std::nullopt;
 }
 
-ToolExit start(int Count, char **Words) {
+ToolExit start(int Argc, char **Argv) {
   CommandLine line;
-  if (auto code = readLine(Count, Words, line))
+  if (auto code = readCommandLine(Argc, Argv, line))
     return *code;
-  bool isCheck = line.Words.size() == 2 && line.Words[0] == "check";
+  bool isCheck = line.Arguments.size() == 2 && line.Arguments[0] == "check";
   if (isCheck)
-    line.SettingsFile = line.Words[1];
-  if (line.Words.size() > 2 && line.Words[0] == "explain")
-    return explainRequest(line.Words);
-  if (line.SettingsFile.empty() || line.Words.empty())
+    line.SettingsFile = line.Arguments[1];
+  if (line.Arguments.size() > 2 && line.Arguments[0] == "explain")
+    return explainRequest(line.Arguments);
+  if (line.SettingsFile.empty() || line.Arguments.empty())
     return showUsage();
   SettingsProblem problem;
   auto settings = readSettings(line.SettingsFile, problem);
@@ -133,13 +135,13 @@
     return ToolExit::Ok;
   }
   startLogging(LogLevel::Error, "ctl");
-  return runCommand(*settings, line.Options, line.Words);
+  return runCommand(*settings, line.Options, line.Arguments);
 }
 
 } // namespace
 
 } // namespace sassafras
 
-int main(int Count, char **Words) {
-  return static_cast<int>(sassafras::start(Count, Words));
+int main(int Argc, char **Argv) {
+  return static_cast<int>(sassafras::start(Argc, Argv));
 }
