--- a/tests/ctl/test_tool.cpp
+++ b/tests/ctl/test_tool.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Contract of the operator's tool: exit codes and one-line reasons.
+/// Tests of sassafrasctl: its exit codes and messages.
 #include "tests/harness/process_fleet.h"
 
 #include <catch2/catch.hpp>
@@ -11,16 +11,16 @@
 
 namespace {
 
-struct Call {
-  const char *What;
-  std::vector<std::string> Words;
+struct ToolCase {
+  const char *Name;
+  std::vector<std::string> Arguments;
   int Code;
-  const char *Said;
+  const char *Output;
 };
 
 } // namespace
 
-TEST_CASE("tool ends with a code and a reason for each case") {
+TEST_CASE("tool returns the exit code and prints the reason of each case") {
   ProcessFleet fleet(bloomline(), Millis(100));
   fleet.startAll(1, {});
   REQUIRE_FALSE(fleet.leader().empty());
@@ -29,7 +29,7 @@
   std::string dangling = fleet.folder() + "/dangling.csv";
   std::ofstream(dangling) << "kind,name,base,memory_mb\nadapter,a1,nothing,5\n";
   std::string good = fleet.sampleTable();
-  const Call cases[] = {
+  const ToolCase cases[] = {
       {"no command", {}, 2, "usage"},
       {"unknown command", {"fly"}, 2, "unknown command"},
       {"unknown option", {"--fly"}, 2, "usage"},
@@ -57,12 +57,12 @@
       {"check", {"check", fleet.settingsOf("entry-1")}, 0, "good"},
       {"version", {"--version"}, 0, "sassafrasctl"},
   };
-  for (const Call &it : cases) {
-    INFO(it.What);
-    ToolResult result = fleet.ctl(it.Words);
+  for (const ToolCase &it : cases) {
+    INFO(it.Name);
+    ToolResult result = fleet.ctl(it.Arguments);
     INFO(result.Out << result.Errors);
     CHECK(result.Code == it.Code);
-    CHECK((result.Out + result.Errors).find(it.Said) != std::string::npos);
+    CHECK((result.Out + result.Errors).find(it.Output) != std::string::npos);
   }
   for (int i = 1; i <= 3; ++i)
     fleet.kill(ProcessFleet::controlName(i));
