--- a/misc/check_format.sh
+++ b/misc/check_format.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Fails when a source file is not as the formatter would write it.
+# Fails when clang-format would change a source file.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 git ls-files --cached --others --exclude-standard '*.cpp' '*.h' |
--- a/misc/check_lint.sh
+++ b/misc/check_lint.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Runs the linter on every file of the build, several at a time.
+# Runs clang-tidy on every compiled file, in parallel. Generated Protobuf code and
+# json.cpp, which compiles Boost.JSON, are excluded.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 files=$(python3 -c '
--- a/misc/check_tests.sh
+++ b/misc/check_tests.sh
@@ -1,17 +1,17 @@
 #!/usr/bin/env bash
-# Runs all tests. Tests that KNOWN-RED.txt names may fail; they are printed.
-# A line "test: NAME" of that file names one test of ctest.
+# Runs all tests. The tests listed in KNOWN-RED.txt run separately and may fail;
+# the list is printed. A line "test: NAME" of that file lists one ctest test.
 set -uo pipefail
 cd "$(dirname "$0")/.."
-red=()
+known_failing=()
 if [ -e KNOWN-RED.txt ]; then
-  mapfile -t red < <(sed -n 's/^test: //p' KNOWN-RED.txt)
+  mapfile -t known_failing < <(sed -n 's/^test: //p' KNOWN-RED.txt)
 fi
 exclude=()
-if [ ${#red[@]} -gt 0 ]; then
-  pattern=$(printf '%s|' "${red[@]}")
+if [ ${#known_failing[@]} -gt 0 ]; then
+  pattern=$(printf '%s|' "${known_failing[@]}")
   pattern="^(${pattern%|})\$"
-  echo "known red, run apart:"
+  echo "known failing tests, run separately:"
   cat KNOWN-RED.txt
   ctest --test-dir build -R "$pattern" --output-on-failure || true
   exclude=(-E "$pattern")
--- a/misc/install_packages.sh
+++ b/misc/install_packages.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Installs what the build and the checks need. Does nothing when all is there.
+# Installs the packages that the build and the checks need. Does nothing when
+# all are installed.
 set -euo pipefail
 packages=(g++ cmake ninja-build clang-format clang-tidy python3
   libcaf-dev cppzmq-dev libzmq3-dev libprotobuf-dev libboost1.81-dev
