--- a/ctl/main.cpp
+++ b/ctl/main.cpp
@@ -131,7 +131,7 @@
     return ToolExit::Usage;
   }
   if (isCheck) {
-    std::puts("settings are good");
+    std::puts("settings are valid");
     return ToolExit::Ok;
   }
   startLogging(LogLevel::Error, "ctl");
--- a/main/main.cpp
+++ b/main/main.cpp
@@ -212,7 +212,7 @@
     return ExitUsage;
   }
   if (options.IsCheck) {
-    std::puts("settings are good");
+    std::puts("settings are valid");
     return ExitOk;
   }
   std::signal(SIGPIPE, SIG_IGN);
--- a/tests/ctl/test_tool.cpp
+++ b/tests/ctl/test_tool.cpp
@@ -54,7 +54,10 @@
       {"no difference", {"table", "diff", good}, 0, ""},
       {"explain", {"explain", "plaque-draft"}, 0, "at most 2 replicas"},
       {"explain nothing", {"explain", "nothing"}, 1, "no row"},
-      {"check", {"check", fleet.settingsOf("entry-1")}, 0, "good"},
+      {"check",
+       {"check", fleet.settingsOf("entry-1")},
+       0,
+       "settings are valid"},
       {"version", {"--version"}, 0, "sassafrasctl"},
   };
   for (const ToolCase &it : cases) {
