--- a/ctl/commands.cpp
+++ b/ctl/commands.cpp
@@ -342,26 +342,26 @@
 }
 
 std::string
-joinNames(const google::protobuf::RepeatedPtrField<std::string> &Names) {
+joinNames(const google::protobuf::RepeatedPtrField<std::string> &Values) {
   std::string out;
-  for (const std::string &name : Names)
+  for (const std::string &name : Values)
     out += (out.empty() ? "" : ",") + name;
   return out;
 }
 
-json::object describeEndpoint(const wire::EndpointStatus &Status) {
-  return {{"name", Status.id()},
-          {"service", Status.service()},
-          {"zone", Status.zone()},
-          {"address", Status.address()},
-          {"state", Status.state()},
-          {"active", Status.active()},
-          {"queued", Status.queued()},
-          {"slots", Status.slots()},
-          {"report_age_ms", Status.report_age_ms()},
-          {"models", joinNames(Status.models())},
-          {"in_memory", joinNames(Status.in_memory())},
-          {"on_disk", joinNames(Status.on_disk())}};
+json::object describeEndpoint(const wire::EndpointStatus &Report) {
+  return {{"name", Report.id()},
+          {"service", Report.service()},
+          {"zone", Report.zone()},
+          {"address", Report.address()},
+          {"state", Report.state()},
+          {"active", Report.active()},
+          {"queued", Report.queued()},
+          {"slots", Report.slots()},
+          {"report_age_ms", Report.report_age_ms()},
+          {"models", joinNames(Report.models())},
+          {"in_memory", joinNames(Report.in_memory())},
+          {"on_disk", joinNames(Report.on_disk())}};
 }
 
 /// Prints the endpoints as the leading front reports them.
