--- a/fleet/endpoint_directory.cpp
+++ b/fleet/endpoint_directory.cpp
@@ -186,7 +186,7 @@
   bool isTakenAway =
       Endpoint.TakenAwayAt != TimePoint() && Now >= Endpoint.TakenAwayAt;
   return !Endpoint.HasLeft && !isTakenAway &&
-         Now - Endpoint.HeardAt < EndpointSilence;
+         Now - Endpoint.HeardAt < EndpointTimeout;
 }
 
 bool isUsable(const KnownEndpoint &Endpoint, TimePoint Now) {
@@ -204,7 +204,7 @@
   if (announced == Directory.Announced.end())
     return hasReading ? &reading->second.State : nullptr;
   // An agent that fell silent is older news than the announcement.
-  if (hasReading && reading->second.State.ReadAt + EndpointSilence / 2 >
+  if (hasReading && reading->second.State.ReadAt + EndpointTimeout / 2 >
                         announced->second.ReadAt)
     return &reading->second.State;
   return &announced->second;
--- a/fleet/endpoint_directory.h
+++ b/fleet/endpoint_directory.h
@@ -17,7 +17,7 @@
 
 /// An endpoint that was not heard of for this long takes no work. Some missed
 /// announcements at the platform's pace of one in 1.2 s.
-inline constexpr Millis EndpointSilence{6'000};
+inline constexpr Millis EndpointTimeout{6'000};
 /// Reports of an agent's earlier process are told apart for this long; some
 /// periods of its reports.
 inline constexpr Millis ReadingMemory{2'000};
--- a/tests/fleet/test_endpoint_directory.cpp
+++ b/tests/fleet/test_endpoint_directory.cpp
@@ -91,8 +91,8 @@
   CHECK(isUsed(directory, "a", Start));
   CHECK_FALSE(isUsed(directory, "a", Start + Millis(1'001)));
   applySighting(directory, sighting("b", 100, 5, "10.0.0.2:80"), Start);
-  CHECK(isUsed(directory, "b", Start + EndpointSilence - Millis(1)));
-  CHECK_FALSE(isUsed(directory, "b", Start + EndpointSilence));
+  CHECK(isUsed(directory, "b", Start + EndpointTimeout - Millis(1)));
+  CHECK_FALSE(isUsed(directory, "b", Start + EndpointTimeout));
 }
 
 TEST_CASE("fronts that were told in another order agree") {
--- a/tests/front/test_leader_work.cpp
+++ b/tests/front/test_leader_work.cpp
@@ -253,7 +253,7 @@
        },
        Millis(2'100), false},
       {"engine no longer announces itself", [](wire::EndpointSighting &) {},
-       EndpointSilence + Millis(300), false},
+       EndpointTimeout + Millis(300), false},
       {"another engine has its address",
        [](wire::EndpointSighting &it) {
          it.set_id("i-2");
