--- a/fleet/endpoint_directory.cpp
+++ b/fleet/endpoint_directory.cpp
@@ -114,7 +114,7 @@
   known.Slots = std::max<uint32_t>(Sighting.slots(), 1);
   known.IsDraining = Sighting.is_draining();
   known.HeardAt = std::max(known.HeardAt, heardAt);
-  known.SlowUntil = heardAt + Millis(Sighting.cold_left_ms());
+  known.WarmingUpUntil = heardAt + Millis(Sighting.cold_left_ms());
   if (Sighting.remaining_ms() > 0 && known.TakenAwayAt == TimePoint())
     known.TakenAwayAt = heardAt + Millis(Sighting.remaining_ms());
   if (Sighting.has_models())
--- a/fleet/endpoint_directory.h
+++ b/fleet/endpoint_directory.h
@@ -56,7 +56,7 @@
   bool HasLeft = false;
   TimePoint TakenAwayAt; ///< Set when it is removed at short notice.
   TimePoint HeardAt;
-  TimePoint SlowUntil; ///< Slower than later, just after its start.
+  TimePoint WarmingUpUntil; ///< Slower than later, just after its start.
 };
 
 /// What an agent said last of the engine at an address.
--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -80,7 +80,7 @@
   out.Id = Known.Id;
   out.Zone = Known.Zone;
   out.Slots = Known.Slots;
-  out.IsSlow = !isPast(Known.SlowUntil, Now);
+  out.IsSlow = !isPast(Known.WarmingUpUntil, Now);
   if (!Request.Attributes.PromptHead.empty())
     out.Affinity =
         static_cast<double>(
--- a/front/front_status.cpp
+++ b/front/front_status.cpp
@@ -10,7 +10,7 @@
     return "leaving";
   if (!isUsable(Endpoint, Now) || (Engine && Engine->IsSilent))
     return "silent";
-  return isPast(Endpoint.SlowUntil, Now) ? "usable" : "slow";
+  return isPast(Endpoint.WarmingUpUntil, Now) ? "usable" : "slow";
 }
 
 void fillEngineStatus(const EngineState &Engine, TimePoint Now,
