--- a/fleet/endpoint_directory.cpp
+++ b/fleet/endpoint_directory.cpp
@@ -39,7 +39,7 @@
   Out.InMemory = {Sighting.in_memory().begin(), Sighting.in_memory().end()};
   Out.OnDisk = {Sighting.on_disk().begin(), Sighting.on_disk().end()};
   // Not every announcement that is passed on tells of weights.
-  Out.KnowsWeights = !Out.InMemory.empty() || !Out.OnDisk.empty();
+  Out.HasWeightLocations = !Out.InMemory.empty() || !Out.OnDisk.empty();
 }
 
 /// The process that stood at the address before is surely gone.
@@ -157,7 +157,7 @@
   for (const wire::LoadedModel &it : Report.models())
     state.Models[it.name()] = {it.adapters().begin(), it.adapters().end()};
   if (Report.has_available()) {
-    state.KnowsWeights = true;
+    state.HasWeightLocations = true;
     state.InMemory = {Report.in_memory().begin(), Report.in_memory().end()};
     state.OnDisk = {Report.on_disk().begin(), Report.on_disk().end()};
   }
--- a/fleet/endpoint_directory.h
+++ b/fleet/endpoint_directory.h
@@ -39,7 +39,7 @@
   std::string Agent;   ///< Inner address of its agent, or empty.
   std::string Loading; ///< Model that its agent was ordered to load, or empty.
   std::map<std::string, std::set<std::string>> Models; ///< With adapters.
-  bool KnowsWeights = false; ///< It was told what lies at this engine.
+  bool HasWeightLocations = false; ///< It was told what lies at this engine.
   std::set<std::string> InMemory;
   std::set<std::string> OnDisk;
 };
--- a/front/leader_work.cpp
+++ b/front/leader_work.cpp
@@ -179,7 +179,7 @@
     if (!isUsable(known, Now) || !findEngineSpec(State, known.Service))
       return true;
     const EngineState *engine = engineOf(State.Directory, known);
-    return engine && engine->KnowsWeights;
+    return engine && engine->HasWeightLocations;
   });
 }
 
