--- a/fleet/endpoint_directory.cpp
+++ b/fleet/endpoint_directory.cpp
@@ -193,8 +193,8 @@
   return isServing(Endpoint, Now) && !Endpoint.IsDraining;
 }
 
-const EngineState *engineOf(const EndpointDirectory &Directory,
-                            const KnownEndpoint &Endpoint) {
+const EngineState *findEngineState(const EndpointDirectory &Directory,
+                                   const KnownEndpoint &Endpoint) {
   auto reading = Directory.Readings.find(Endpoint.Address);
   // A report of the process before this one says nothing of it.
   bool hasReading = reading != Directory.Readings.end() &&
--- a/fleet/endpoint_directory.h
+++ b/fleet/endpoint_directory.h
@@ -96,8 +96,8 @@
 /// True while new work may be sent there.
 bool isUsable(const KnownEndpoint &Endpoint, TimePoint Now);
 /// Newest knowledge of its engine, or null.
-const EngineState *engineOf(const EndpointDirectory &Directory,
-                            const KnownEndpoint &Endpoint);
+const EngineState *findEngineState(const EndpointDirectory &Directory,
+                                   const KnownEndpoint &Endpoint);
 /// Digest over identity and state of all endpoints, equal at fronts that know
 /// the same.
 uint64_t digestEndpoints(const EndpointDirectory &Directory);
--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -99,7 +99,7 @@
       continue;
     ++out.UsableCount;
     const EngineState *engine =
-        IsEngine ? engineOf(State.Directory, known) : nullptr;
+        IsEngine ? findEngineState(State.Directory, known) : nullptr;
     if (IsEngine) {
       if (!engine || engine->IsSilent)
         continue;
--- a/front/front_status.cpp
+++ b/front/front_status.cpp
@@ -43,7 +43,7 @@
     node.set_applied_version(it.TableVersion);
   }
   for (const auto &[id, known] : State.Directory.Endpoints) {
-    const EngineState *engine = engineOf(State.Directory, known);
+    const EngineState *engine = findEngineState(State.Directory, known);
     wire::EndpointStatus &endpoint = *Out.add_endpoints();
     endpoint.set_id(id);
     endpoint.set_service(known.Service);
--- a/front/leader_work.cpp
+++ b/front/leader_work.cpp
@@ -178,7 +178,7 @@
     const KnownEndpoint &known = it.second;
     if (!isUsable(known, Now) || !findEngineSpec(State, known.Service))
       return true;
-    const EngineState *engine = engineOf(State.Directory, known);
+    const EngineState *engine = findEngineState(State.Directory, known);
     return engine && engine->HasWeightLocations;
   });
 }
@@ -217,7 +217,7 @@
   for (const auto &[id, known] : State.Directory.Endpoints) {
     if (known.Service != Service || known.HasLeft)
       continue;
-    const EngineState *engine = engineOf(State.Directory, known);
+    const EngineState *engine = findEngineState(State.Directory, known);
     if (!engine)
       continue;
     PlanEngine plan;
@@ -495,7 +495,7 @@
                                               TimePoint Now) {
   std::optional<Millis> best;
   for (const auto &[id, known] : State.Directory.Endpoints) {
-    const EngineState *engine = engineOf(State.Directory, known);
+    const EngineState *engine = findEngineState(State.Directory, known);
     if (!engine || !isUsable(known, Now) || !hasWeights(*engine, Model))
       continue;
     auto order = Leader.Orders.find(known.Address);
@@ -533,7 +533,7 @@
   for (const auto &[address, order] : Leader.Orders)
     record(order.Model, order.ReadyAt);
   for (const auto &[id, known] : State.Directory.Endpoints) {
-    const EngineState *engine = engineOf(State.Directory, known);
+    const EngineState *engine = findEngineState(State.Directory, known);
     const ModelSpec *spec = engine && isServing(known, Now)
                                 ? findModelSpec(State, engine->Loading)
                                 : nullptr;
@@ -628,7 +628,7 @@
                                 const FrontState &State, TimePoint Now) {
   std::map<std::string, size_t> replicas;
   for (const auto &[id, known] : State.Directory.Endpoints) {
-    const EngineState *engine = engineOf(State.Directory, known);
+    const EngineState *engine = findEngineState(State.Directory, known);
     if (!engine || !isUsable(known, Now))
       continue;
     for (const auto &[model, adapters] : engine->Models)
--- a/tests/fleet/test_endpoint_directory.cpp
+++ b/tests/fleet/test_endpoint_directory.cpp
@@ -125,13 +125,13 @@
   report.add_models()->set_name("m");
   REQUIRE(applyReport(directory, report, Start));
   const KnownEndpoint &known = directory.Endpoints.at("a");
-  REQUIRE(engineOf(directory, known));
-  CHECK(engineOf(directory, known)->Models.contains("m"));
+  REQUIRE(findEngineState(directory, known));
+  CHECK(findEngineState(directory, known)->Models.contains("m"));
   report.set_number(2);
   report.clear_models();
   CHECK_FALSE(applyReport(directory, report, Start));
-  CHECK(engineOf(directory, known)->Models.contains("m"));
+  CHECK(findEngineState(directory, known)->Models.contains("m"));
   // The engine restarts: what was read of the process before says nothing.
   applySighting(directory, sighting("a", 200, 1), Start);
-  CHECK_FALSE(engineOf(directory, directory.Endpoints.at("a")));
+  CHECK_FALSE(findEngineState(directory, directory.Endpoints.at("a")));
 }
