--- a/fleet/endpoint_directory.cpp
+++ b/fleet/endpoint_directory.cpp
@@ -224,7 +224,7 @@
 }
 
 std::vector<wire::EndpointSighting>
-printEndpoints(const EndpointDirectory &Directory, TimePoint Now) {
+makeSightings(const EndpointDirectory &Directory, TimePoint Now) {
   std::vector<wire::EndpointSighting> out;
   for (const auto &[id, it] : Directory.Endpoints) {
     if (!holdsAddress(Directory, it))
--- a/fleet/endpoint_directory.h
+++ b/fleet/endpoint_directory.h
@@ -103,7 +103,7 @@
 uint64_t digestEndpoints(const EndpointDirectory &Directory);
 /// Everything known, in the form in which it came.
 std::vector<wire::EndpointSighting>
-printEndpoints(const EndpointDirectory &Directory, TimePoint Now);
+makeSightings(const EndpointDirectory &Directory, TimePoint Now);
 
 } // namespace sassafras
 
--- a/front/fleet_view.cpp
+++ b/front/fleet_view.cpp
@@ -243,7 +243,7 @@
     wire::Envelope message;
     wire::EndpointNews &news = *message.mutable_endpoint_news();
     news.set_is_whole(true);
-    for (wire::EndpointSighting &it : printEndpoints(State.Directory, Now))
+    for (wire::EndpointSighting &it : makeSightings(State.Directory, Now))
       *news.add_endpoints() = std::move(it);
     send(Out, self.address(), std::move(message));
   }
--- a/tests/fleet/test_endpoint_directory.cpp
+++ b/tests/fleet/test_endpoint_directory.cpp
@@ -108,7 +108,7 @@
   CHECK(digestEndpoints(one) == digestEndpoints(other));
   // One that has just started is told everything and agrees.
   EndpointDirectory fresh;
-  for (const auto &it : printEndpoints(one, Start))
+  for (const auto &it : makeSightings(one, Start))
     applySighting(fresh, it, Start);
   CHECK(digestEndpoints(fresh) == digestEndpoints(one));
 }
