--- a/fleet/roster.cpp
+++ b/fleet/roster.cpp
@@ -72,8 +72,9 @@
   return digest;
 }
 
-wire::RosterUpdate printRoster(const Roster &Roster,
-                               const wire::NodeEntry &Self, TimePoint Now) {
+wire::RosterUpdate makeRosterUpdate(const Roster &Roster,
+                                    const wire::NodeEntry &Self,
+                                    TimePoint Now) {
   wire::RosterUpdate out;
   *out.add_nodes() = Self;
   for (const auto &[name, it] : Roster.Nodes) {
--- a/fleet/roster.h
+++ b/fleet/roster.h
@@ -45,8 +45,8 @@
 uint64_t digestRoster(const Roster &Roster, const wire::NodeEntry &Self,
                       TimePoint Now);
 /// All nodes in view and this one, to pass on.
-wire::RosterUpdate printRoster(const Roster &Roster,
-                               const wire::NodeEntry &Self, TimePoint Now);
+wire::RosterUpdate makeRosterUpdate(const Roster &Roster,
+                                    const wire::NodeEntry &Self, TimePoint Now);
 
 } // namespace sassafras
 
--- a/front/fleet_view.cpp
+++ b/front/fleet_view.cpp
@@ -207,7 +207,7 @@
     // An agent learns the fronts in view only from this reply.
     wire::Envelope message;
     *message.mutable_roster_update() =
-        printRoster(State.Roster, State.Self, Now);
+        makeRosterUpdate(State.Roster, State.Self, Now);
     send(Out, self.address(), std::move(message));
     return;
   }
@@ -235,7 +235,7 @@
       mayResync(Gossip, self.address(), "/roster", Now)) {
     wire::Envelope message;
     *message.mutable_roster_update() =
-        printRoster(State.Roster, State.Self, Now);
+        makeRosterUpdate(State.Roster, State.Self, Now);
     send(Out, self.address(), std::move(message));
   }
   if (Heartbeat.endpoint_digest() != digestEndpoints(State.Directory) &&
