--- a/fleet/roster.cpp
+++ b/fleet/roster.cpp
@@ -53,7 +53,7 @@
 }
 
 bool isInView(const KnownNode &Node, TimePoint Now) {
-  return Now - Node.HeardAt < NodeSilence;
+  return Now - Node.HeardAt < NodeTimeout;
 }
 
 size_t countInView(const Roster &Roster, wire::NodeKind Kind, TimePoint Now) {
--- a/fleet/roster.h
+++ b/fleet/roster.h
@@ -15,7 +15,7 @@
 
 /// A node without a sign of life for this long counts as out of view. Three
 /// heartbeats at their slowest pace.
-inline constexpr Millis NodeSilence{2'400};
+inline constexpr Millis NodeTimeout{2'400};
 /// A node out of view for this long is forgotten.
 inline constexpr Millis NodeMemory{30'000};
 
--- a/front/fleet_view.cpp
+++ b/front/fleet_view.cpp
@@ -30,7 +30,7 @@
   std::vector<std::string> out;
   for (const auto &[name, it] : State.Roster.Nodes)
     if (it.Entry.kind() == wire::NODE_FRONT &&
-        Now - it.HeardAt < 2 * NodeSilence)
+        Now - it.HeardAt < 2 * NodeTimeout)
       out.push_back(it.Entry.address());
   return out;
 }
@@ -62,7 +62,7 @@
 bool isNewerLeader(const FrontState &State,
                    const wire::NodeHeartbeat &Heartbeat, TimePoint Now) {
   return Heartbeat.term() >= State.Leader.Term ||
-         Now - State.Leader.HeardAt > NodeSilence;
+         Now - State.Leader.HeardAt > NodeTimeout;
 }
 
 } // namespace
@@ -154,7 +154,7 @@
         HeartbeatPeriod / 2;
   }
   std::set<std::string> recipients;
-  bool hasLeader = !IsLeader && Now - State.Leader.HeardAt < NodeSilence;
+  bool hasLeader = !IsLeader && Now - State.Leader.HeardAt < NodeTimeout;
   if (hasLeader) {
     wire::Envelope toLeader = message;
     collectOwnDemand(State, *toLeader.mutable_node_heartbeat(), Now);
--- a/front/fleet_view.h
+++ b/front/fleet_view.h
@@ -22,7 +22,7 @@
 /// costs no more than the rest of its heartbeat traffic.
 inline constexpr size_t MaxFrontsAtFullRate = 10;
 /// Upper bound of the interval between broadcast heartbeats. Three in a row
-/// must be lost before a front counts as out of view (NodeSilence).
+/// must be lost before a front counts as out of view (NodeTimeout).
 inline constexpr Millis MaxBroadcastPeriod{800};
 /// Minimum interval between two full updates on the same subject that are sent
 /// to, or requested from, the same node.
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -544,7 +544,7 @@
 std::string FrontShell::leaderControlAddress() const {
   if (!View.LeaderAddress.empty() && !View.IsLeader)
     return atPortOf(View.LeaderAddress, Options.FrontRole.Control);
-  bool isCurrent = Clock::now() - Core.State.Leader.HeardAt < NodeSilence;
+  bool isCurrent = Clock::now() - Core.State.Leader.HeardAt < NodeTimeout;
   return isCurrent && !View.IsLeader ? Core.State.Leader.ControlAddress
                                      : std::string();
 }
--- a/front/front_state.cpp
+++ b/front/front_state.cpp
@@ -21,7 +21,7 @@
 
 bool hasLeader(const FrontState &State, TimePoint Now) {
   return State.IsLeading || (State.Leader.HeardAt != TimePoint() &&
-                             Now - State.Leader.HeardAt < NodeSilence);
+                             Now - State.Leader.HeardAt < NodeTimeout);
 }
 
 QuotaLimit quotaLimitOf(const FrontState &State,
--- a/front/front_state.h
+++ b/front/front_state.h
@@ -102,7 +102,7 @@
 /// A forecast is used for this long.
 inline constexpr Millis ForecastLifetime{1'000};
 
-/// True if this front leads, or a leader was heard within NodeSilence. Pure.
+/// True if this front leads, or a leader was heard within NodeTimeout. Pure.
 bool hasLeader(const FrontState &State, TimePoint Now);
 
 /// The quota limit of the organisation in force; its rate is 0 for no limit.
--- a/front/leader_work.cpp
+++ b/front/leader_work.cpp
@@ -392,7 +392,7 @@
   for (const auto &[name, it] : State.Roster.Nodes)
     // A front that is out of view may still be using its last share.
     if (it.Entry.kind() == wire::NODE_FRONT &&
-        Now - it.HeardAt < NodeSilence + ShareLife)
+        Now - it.HeardAt < NodeTimeout + ShareLife)
       fronts.push_back(name);
   std::map<std::string, wire::RateShares> shares;
   for (const OrganisationSpec &organisation : State.Table->Organisations) {
