--- a/fleet/roster.cpp
+++ b/fleet/roster.cpp
@@ -14,7 +14,8 @@
 
 } // namespace
 
-bool hearNode(Roster &Roster, const wire::NodeEntry &Entry, TimePoint Now) {
+bool recordNodeHeartbeat(Roster &Roster, const wire::NodeEntry &Entry,
+                         TimePoint Now) {
   KnownNode &known = Roster.Nodes[Entry.name()];
   // A host whose wall clock was set back starts with a lower number.
   if (Entry.incarnation() < known.Entry.incarnation() && isInView(known, Now))
--- a/fleet/roster.h
+++ b/fleet/roster.h
@@ -31,7 +31,8 @@
 };
 
 /// A node spoke for itself. True when it is new or a new process.
-bool hearNode(Roster &Roster, const wire::NodeEntry &Entry, TimePoint Now);
+bool recordNodeHeartbeat(Roster &Roster, const wire::NodeEntry &Entry,
+                         TimePoint Now);
 /// Another node passed on \p Entry. True when it was new.
 bool learnNode(Roster &Roster, const wire::NodeEntry &Entry,
                const std::string &SelfName, TimePoint Now);
--- a/front/fleet_view.cpp
+++ b/front/fleet_view.cpp
@@ -211,7 +211,7 @@
     send(Out, self.address(), std::move(message));
     return;
   }
-  bool isNew = hearNode(State.Roster, self, Now);
+  bool isNew = recordNodeHeartbeat(State.Roster, self, Now);
   State.Roster.Nodes[self.name()].IsLeaving = Heartbeat.is_leaving();
   if (Heartbeat.is_leader() && isNewerLeader(State, Heartbeat, Now))
     setLeader(State, Heartbeat, Now, Out);
