--- a/engine_agent/engine_agent_shell.cpp
+++ b/engine_agent/engine_agent_shell.cpp
@@ -146,7 +146,7 @@
     for (const wire::NodeEntry &it : Message.roster_update().nodes())
       // A new front has no report of this engine yet.
       if (it.kind() == wire::NODE_FRONT &&
-          learnNode(Fronts, it, Options.Node, now))
+          mergeNode(Fronts, it, Options.Node, now))
         NextFullReport = now;
     return;
   }
--- a/fleet/roster.cpp
+++ b/fleet/roster.cpp
@@ -28,7 +28,7 @@
   return isNew;
 }
 
-bool learnNode(Roster &Roster, const wire::NodeEntry &Entry,
+bool mergeNode(Roster &Roster, const wire::NodeEntry &Entry,
                const std::string &SelfName, TimePoint Now) {
   if (Entry.name().empty() || Entry.name() == SelfName)
     return false;
--- a/fleet/roster.h
+++ b/fleet/roster.h
@@ -34,7 +34,7 @@
 bool recordNodeHeartbeat(Roster &Roster, const wire::NodeEntry &Entry,
                          TimePoint Now);
 /// Another node passed on \p Entry. True when it was new.
-bool learnNode(Roster &Roster, const wire::NodeEntry &Entry,
+bool mergeNode(Roster &Roster, const wire::NodeEntry &Entry,
                const std::string &SelfName, TimePoint Now);
 /// Forgets nodes that are silent for long.
 void expireNodes(Roster &Roster, TimePoint Now);
--- a/front/fleet_view.cpp
+++ b/front/fleet_view.cpp
@@ -252,7 +252,7 @@
 void applyRosterUpdate(FrontState &State, const wire::RosterUpdate &Update,
                        TimePoint Now) {
   for (const wire::NodeEntry &it : Update.nodes())
-    learnNode(State.Roster, it, State.Self.name(), Now);
+    mergeNode(State.Roster, it, State.Self.name(), Now);
 }
 
 void applyEndpointNews(FrontState &State, const wire::EndpointNews &News,
