--- a/agent/agent_state.cpp
+++ b/agent/agent_state.cpp
@@ -51,7 +51,7 @@
   for (const std::string &it : State.Endpoint.Cached)
     heartbeat.add_cached_rows(it);
   heartbeat.set_has_strangers(!listUnassignedRows(State).empty());
-  for (const std::string &it : stampHeartbeat(State.View, heartbeat, Now))
+  for (const std::string &it : prepareHeartbeat(State.View, heartbeat, Now))
     Out.push_back(AgentSend{it, message});
 }
 
--- a/entry/entry_state.cpp
+++ b/entry/entry_state.cpp
@@ -79,7 +79,7 @@
     if (request.Stage == RequestStage::Queued)
       State.ReportedDemand.insert(request.Row);
   State.Arrivals.clear();
-  for (const std::string &it : stampHeartbeat(State.View, heartbeat, Now))
+  for (const std::string &it : prepareHeartbeat(State.View, heartbeat, Now))
     Out.push_back(EntrySend{it, message});
 }
 
--- a/fleet/node_view.cpp
+++ b/fleet/node_view.cpp
@@ -10,8 +10,8 @@
   return {View.LeaderAddress};
 }
 
-std::vector<std::string> stampHeartbeat(NodeView &View, wire::Heartbeat &Beat,
-                                        TimePoint Now) {
+std::vector<std::string> prepareHeartbeat(NodeView &View, wire::Heartbeat &Beat,
+                                          TimePoint Now) {
   Beat.set_number(View.NextNumber++);
   Beat.set_applied_version(View.Version);
   Beat.set_views_seen(View.ViewsSeen);
--- a/fleet/node_view.h
+++ b/fleet/node_view.h
@@ -36,8 +36,8 @@
 };
 
 /// Numbers \p Beat and notes its sending; returns the addresses it goes to.
-std::vector<std::string> stampHeartbeat(NodeView &View, wire::Heartbeat &Beat,
-                                        TimePoint Now);
+std::vector<std::string> prepareHeartbeat(NodeView &View, wire::Heartbeat &Beat,
+                                          TimePoint Now);
 /// Takes a reply. True when items changed. Replies that do not answer a
 /// heartbeat of this process, or are of an older leader, change nothing.
 bool applyHeartbeatReply(NodeView &View, const wire::HeartbeatReply &Reply,
