--- a/fleet/serving_table.cpp
+++ b/fleet/serving_table.cpp
@@ -77,7 +77,7 @@
                                              : &Table.Organisations[it->second];
 }
 
-const std::string &serviceAt(const ServingRoute &Route, double Point) {
+const std::string &selectService(const ServingRoute &Route, double Point) {
   uint64_t sum = std::accumulate(
       Route.Services.begin(), Route.Services.end(), uint64_t{0},
       [](uint64_t n, const ServiceShare &it) { return n + it.Weight; });
--- a/fleet/serving_table.h
+++ b/fleet/serving_table.h
@@ -119,7 +119,7 @@
                                          std::string_view Key);
 /// Service for a request whose place in the split is \p Point, from 0 up to
 /// but not including 1. Pure and thread safe.
-const std::string &serviceAt(const ServingRoute &Route, double Point);
+const std::string &selectService(const ServingRoute &Route, double Point);
 
 } // namespace sassafras
 
--- a/front/admission.cpp
+++ b/front/admission.cpp
@@ -106,7 +106,7 @@
                              std::min(route->Priority, RoutePriorityLevels - 1),
                          MaxUrgencyValue);
   std::uniform_real_distribution<double> point(0, 1);
-  out.Service = serviceAt(*route, point(State.Random));
+  out.Service = selectService(*route, point(State.Random));
   out.IsRepeatable =
       route->Kind == RequestKind::Idempotent ||
       (route->Kind == RequestKind::Streaming && route->IsResumable);
--- a/tests/fleet/test_serving_table.cpp
+++ b/tests/fleet/test_serving_table.cpp
@@ -92,10 +92,10 @@
 TEST_CASE("split sends each service its part") {
   ServingTable table = soundTable();
   const ServingRoute &split = table.Routes[1];
-  CHECK(serviceAt(split, 0.0) == "chat");
-  CHECK(serviceAt(split, 0.74) == "chat");
-  CHECK(serviceAt(split, 0.76) == "desk");
-  CHECK(serviceAt(split, 0.999) == "desk");
+  CHECK(selectService(split, 0.0) == "chat");
+  CHECK(selectService(split, 0.74) == "chat");
+  CHECK(selectService(split, 0.76) == "desk");
+  CHECK(selectService(split, 0.999) == "desk");
 }
 
 TEST_CASE("key belongs to one organisation") {
