--- a/entry/admission.cpp
+++ b/entry/admission.cpp
@@ -67,7 +67,7 @@
   if (it == State.Index.OrganisationByKeyHash.end())
     return makeRefusal(RefusalReason::KeyUnknown);
   Organisation = it->second;
-  if (!allowsTenant(Row, Organisation))
+  if (!allowsOrganisation(Row, Organisation))
     return makeRefusal(RefusalReason::TenantNotAllowed);
   return std::nullopt;
 }
@@ -178,7 +178,7 @@
   auto it = State.Index.OrganisationByKeyHash.find(Request.Caller.KeyHash);
   return it != State.Index.OrganisationByKeyHash.end() &&
          it->second == Request.Organisation &&
-         allowsTenant(*row, Request.Organisation);
+         allowsOrganisation(*row, Request.Organisation);
 }
 
 bool isQuarantined(const EntryState &State, const RequestState &Request,
--- a/fleet/table.cpp
+++ b/fleet/table.cpp
@@ -421,7 +421,7 @@
   return out;
 }
 
-bool allowsTenant(const TableRow &Row, const std::string &Tenant) {
+bool allowsOrganisation(const TableRow &Row, const std::string &Tenant) {
   if (Row.tenants().empty())
     return true;
   std::string list = "|" + Row.tenants() + "|";
--- a/fleet/table.h
+++ b/fleet/table.h
@@ -34,7 +34,7 @@
 std::string printTable(const std::vector<wire::TableRow> &Rows);
 
 /// True when \p Row may be used by \p Tenant.
-bool allowsTenant(const wire::TableRow &Row, const std::string &Tenant);
+bool allowsOrganisation(const wire::TableRow &Row, const std::string &Tenant);
 
 } // namespace sassafras
 
