--- a/ctl/commands.cpp
+++ b/ctl/commands.cpp
@@ -119,7 +119,7 @@
   auto status = Tool.Client.status("row/");
   if (!status)
     return unreachable(Tool);
-  std::string csv = printTable(rowsOf(*status));
+  std::string csv = formatTable(rowsOf(*status));
   if (!Tool.Options.IsJson) {
     std::cerr << "version " << status->table_version() << '\n';
     std::cout << csv;
--- a/fleet/table.cpp
+++ b/fleet/table.cpp
@@ -404,7 +404,7 @@
   return std::nullopt;
 }
 
-std::string printTable(const std::vector<TableRow> &Rows) {
+std::string formatTable(const std::vector<TableRow> &Rows) {
   std::string out;
   for (const ColumnName &it : Columns)
     out += (out.empty() ? "" : ",") + std::string(it.Name);
--- a/fleet/table.h
+++ b/fleet/table.h
@@ -31,7 +31,7 @@
 std::optional<TableProblem> checkTable(const std::vector<wire::TableRow> &Rows);
 
 /// CSV of \p Rows with the heading line; parseTable gives the same rows back.
-std::string printTable(const std::vector<wire::TableRow> &Rows);
+std::string formatTable(const std::vector<wire::TableRow> &Rows);
 
 /// True when \p Row may be used by \p Tenant.
 bool allowsOrganisation(const wire::TableRow &Row, const std::string &Tenant);
--- a/tests/fleet/test_table.cpp
+++ b/tests/fleet/test_table.cpp
@@ -75,7 +75,7 @@
   auto rows = parseTable(csv, problem);
   REQUIRE(rows);
   REQUIRE_FALSE(checkTable(*rows));
-  auto again = parseTable(printTable(*rows), problem);
+  auto again = parseTable(formatTable(*rows), problem);
   REQUIRE(again);
   REQUIRE(again->size() == rows->size());
   for (size_t i = 0; i < rows->size(); ++i)
