--- a/fleet/endpoint_directory.cpp
+++ b/fleet/endpoint_directory.cpp
@@ -125,7 +125,7 @@
 
 bool applyReport(EndpointDirectory &Directory, const wire::EngineReport &Report,
                  TimePoint Now) {
-  AgentReading &known = Directory.Readings[Report.address()];
+  AgentReading &known = Directory.AgentReports[Report.address()];
   uint64_t incarnation = Report.self().incarnation();
   // An agent whose host's wall clock was set back starts with a lower number.
   bool isRecent = Now - known.State.ReadAt < ReadingMemory;
@@ -175,7 +175,7 @@
     auto holder = Directory.IdByAddress.find(known.Address);
     if (holder != Directory.IdByAddress.end() && holder->second == known.Id) {
       Directory.IdByAddress.erase(holder);
-      Directory.Readings.erase(known.Address);
+      Directory.AgentReports.erase(known.Address);
     }
     Directory.Announced.erase(known.Id);
     it = Directory.Endpoints.erase(it);
@@ -195,9 +195,9 @@
 
 const EngineState *findEngineState(const EndpointDirectory &Directory,
                                    const KnownEndpoint &Endpoint) {
-  auto reading = Directory.Readings.find(Endpoint.Address);
+  auto reading = Directory.AgentReports.find(Endpoint.Address);
   // A report of the process before this one says nothing of it.
-  bool hasReading = reading != Directory.Readings.end() &&
+  bool hasReading = reading != Directory.AgentReports.end() &&
                     (reading->second.BornMs == 0 ||
                      reading->second.BornMs == Endpoint.BornMs);
   auto announced = Directory.Announced.find(Endpoint.Id);
--- a/fleet/endpoint_directory.h
+++ b/fleet/endpoint_directory.h
@@ -70,8 +70,8 @@
 struct EndpointDirectory {
   std::map<std::string, KnownEndpoint> Endpoints; ///< By id.
   std::map<std::string, std::string> IdByAddress;
-  std::map<std::string, AgentReading> Readings; ///< By engine address.
-  std::map<std::string, EngineState> Announced; ///< By id.
+  std::map<std::string, AgentReading> AgentReports; ///< By engine address.
+  std::map<std::string, EngineState> Announced;     ///< By id.
 };
 
 /// What a sighting changed.
--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -643,8 +643,8 @@
     else
       model->second.erase(Request.Attributes.Adapter);
   };
-  auto reading = State.Directory.Readings.find(known->second.Address);
-  if (reading != State.Directory.Readings.end())
+  auto reading = State.Directory.AgentReports.find(known->second.Address);
+  if (reading != State.Directory.AgentReports.end())
     forget(reading->second.State);
   auto announced = State.Directory.Announced.find(Endpoint);
   if (announced != State.Directory.Announced.end())
--- a/front/leaderless_wish.cpp
+++ b/front/leaderless_wish.cpp
@@ -57,7 +57,7 @@
   std::vector<const EngineState *> states;
   // Iterates the agents' reports and not the endpoints: an agent may report
   // before its engine has announced itself to this front.
-  for (const auto &[address, reading] : State.Directory.Readings) {
+  for (const auto &[address, reading] : State.Directory.AgentReports) {
     const EngineState &engine = reading.State;
     if (engine.IsSilent || Now - engine.ReadAt > AgentReportLifetime)
       continue;
