--- a/fleet/endpoint_directory.cpp
+++ b/fleet/endpoint_directory.cpp
@@ -148,7 +148,7 @@
   state.KvUsed = Report.kv_used();
   state.KvTotal = Report.kv_total();
   state.OrderDone = Report.order_done();
-  state.Agent = Report.self().address();
+  state.AgentAddress = Report.self().address();
   if (Report.is_plain())
     return true;
   known.BornMs = Report.born_ms();
--- a/fleet/endpoint_directory.h
+++ b/fleet/endpoint_directory.h
@@ -36,7 +36,7 @@
   uint64_t KvUsed = 0;
   uint64_t KvTotal = 0;
   uint64_t OrderDone = 0;
-  std::string Agent;   ///< Inner address of its agent, or empty.
+  std::string AgentAddress; ///< Inner address of its agent, or empty.
   std::string Loading; ///< Model that its agent was ordered to load, or empty.
   std::map<std::string, std::set<std::string>> Models; ///< With adapters.
   bool HasWeightLocations = false; ///< It was told what lies at this engine.
--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -130,7 +130,7 @@
   for (size_t i = 0; i < Found.Candidates.size(); ++i) {
     const EndpointCandidate &it = Found.Candidates[i];
     bool isFull = estimateLoad(*it.Record, Now) >= it.Slots;
-    if (Found.Engines[i]->Agent.empty() || isFull ||
+    if (Found.Engines[i]->AgentAddress.empty() || isFull ||
         !isPast(it.Record->PausedUntil, Now))
       continue;
     uint64_t rank = checksumOf(Request.Attributes.Model + '/' +
@@ -151,7 +151,7 @@
     return std::nullopt;
   next = Now + AdapterRetryPeriod;
   AdapterLoadRequest out;
-  out.Agent = Found.Engines[*best]->Agent;
+  out.Agent = Found.Engines[*best]->AgentAddress;
   out.Payload.set_engine_address(target.Address);
   out.Payload.set_endpoint(target.Id);
   out.Payload.set_model(Request.Attributes.Model);
--- a/front/leader_work.cpp
+++ b/front/leader_work.cpp
@@ -321,7 +321,7 @@
             {"from_store", Load.IsFromStore ? "yes" : "no"},
             {"report_age_ms", std::to_string(toMillis(
                                   Now - Survey.States[Load.Engine]->ReadAt))}});
-  Out.push_back({Survey.States[Load.Engine]->Agent, std::move(message)});
+  Out.push_back({Survey.States[Load.Engine]->AgentAddress, std::move(message)});
   Leader.Orders[target.Address] = std::move(order);
 }
 
--- a/front/leaderless_wish.cpp
+++ b/front/leaderless_wish.cpp
@@ -75,7 +75,7 @@
     return std::nullopt;
   row.NextAgentRequest = Now + RequestInterval;
   ModelLoadRequest out;
-  out.Agent = states[*chosen]->Agent;
+  out.Agent = states[*chosen]->AgentAddress;
   out.Order.set_engine_address(engines[*chosen].Address);
   out.Order.set_load(name);
   *out.Order.mutable_sizes() = makeEngineSizes(*spec);
