--- a/fleet/fleet_state.cpp
+++ b/fleet/fleet_state.cpp
@@ -32,10 +32,11 @@
   return rejected(State, wire::PROPOSAL_INVALID, Reason);
 }
 
-void eraseKeysWithoutTenant(FleetState &State, uint64_t Index) {
+void eraseKeysWithoutOrganisation(FleetState &State, uint64_t Index) {
   for (const wire::Item *it : State.Items.list("key/")) {
-    const wire::TableRow *tenant = findRow(State.Items, it->key().tenant());
-    if (!tenant || tenant->kind() != wire::ROW_TENANT)
+    const wire::TableRow *organisation =
+        findRow(State.Items, it->key().tenant());
+    if (!organisation || organisation->kind() != wire::ROW_TENANT)
       State.Items.erase(std::string(it->name()), Index);
   }
 }
@@ -63,24 +64,24 @@
   for (const wire::Item *it : State.Items.list("row/"))
     if (!kept.contains(it->row().name()))
       State.Items.erase(std::string(it->name()), Index);
-  eraseKeysWithoutTenant(State, Index);
+  eraseKeysWithoutOrganisation(State, Index);
   ++State.TableVersion;
   return accepted(State, Index);
 }
 
 ProposalReply apply(FleetState &State, const wire::KeyGrant &Grant,
                     uint64_t Index) {
-  const wire::TableRow *tenant = findRow(State.Items, Grant.tenant());
-  if (!tenant || tenant->kind() != wire::ROW_TENANT)
+  const wire::TableRow *organisation = findRow(State.Items, Grant.tenant());
+  if (!organisation || organisation->kind() != wire::ROW_TENANT)
     return invalid(State, "no tenant " + Grant.tenant());
   if (Grant.key_id().empty() || Grant.key_hash().empty())
-    return invalid(State, "key id and hash are needed");
+    return invalid(State, "key id and key hash are required");
   if (State.Items.find(keyItemName(Grant.key_id())))
-    return rejected(State, wire::PROPOSAL_CONFLICT, "key id is taken");
+    return rejected(State, wire::PROPOSAL_CONFLICT, "key id is already in use");
   for (const wire::Item *it : State.Items.list("key/"))
     if (it->key().key_hash() == Grant.key_hash())
       return rejected(State, wire::PROPOSAL_CONFLICT,
-                      "key is granted as " + it->key().key_id());
+                      "key is already granted as " + it->key().key_id());
   wire::Item item;
   item.set_name(keyItemName(Grant.key_id()));
   item.mutable_key()->set_key_id(Grant.key_id());
@@ -99,7 +100,8 @@
   return accepted(State, Index);
 }
 
-/// Forgets the replicas on \p Endpoint that are not of \p EngineIncarnation.
+/// Erases the replicas on \p Endpoint that belong to another engine process
+/// than \p EngineIncarnation.
 void eraseReplicasOf(FleetState &State, const std::string &Endpoint,
                      uint64_t EngineIncarnation, uint64_t Index) {
   for (const wire::Item *it : State.Items.list(replicaItemName(Endpoint, "")))
@@ -114,7 +116,8 @@
   const wire::Endpoint *old = findEndpoint(State.Items, endpoint.name());
   if (Change.remove()) {
     if (!old || old->incarnation() != endpoint.incarnation())
-      return invalid(State, "endpoint incarnation is not current");
+      return invalid(State,
+                     "endpoint is unknown or its incarnation does not match");
     State.Items.erase(name, Index);
     eraseReplicasOf(State, endpoint.name(), 0, Index);
     return accepted(State, Index);
@@ -127,34 +130,34 @@
   return accepted(State, Index);
 }
 
-/// Reason why a new replica may not be decided, if any.
-std::optional<std::string> refuseReplica(const FleetState &State,
-                                         const wire::Replica &Replica) {
+/// Reason why \p Replica cannot be created, if any.
+std::optional<std::string> checkNewReplica(const FleetState &State,
+                                           const wire::Replica &Replica) {
   const wire::Endpoint *endpoint =
       findEndpoint(State.Items, Replica.endpoint());
   if (!endpoint || endpoint->leaving() ||
       endpoint->engine_incarnation() != Replica.engine_incarnation())
-    return "endpoint is not there";
+    return "endpoint is unknown, leaving or restarted";
   const wire::TableRow *row = findRow(State.Items, Replica.row());
   if (!row)
     return "no row " + Replica.row();
   if (findReplica(State.Items, Replica.endpoint(), Replica.row()))
-    return "replica exists";
+    return "replica already exists";
   if (countReplicas(State.Items, Replica.row()) >= row->max_replicas())
-    return "row has all its replicas";
-  if (memoryTaken(State.Items, Replica.endpoint()) + Replica.memory_mb() >
+    return "row has reached max_replicas";
+  if (usedMemoryMb(State.Items, Replica.endpoint()) + Replica.memory_mb() >
       endpoint->memory_mb())
-    return "endpoint memory is taken";
+    return "not enough free memory on the endpoint";
   if (!Replica.is_adapter())
     return std::nullopt;
   const wire::Replica *base =
       findReplica(State.Items, Replica.endpoint(), Replica.base());
   if (!base || base->phase() != wire::PHASE_LOADED)
-    return "base model is not loaded";
+    return "base model is not loaded on the endpoint";
   return std::nullopt;
 }
 
-/// True when an adapter on the endpoint of \p Model needs it.
+/// True when an adapter on the endpoint of \p Model is based on it.
 bool hasAdapters(const FleetState &State, const wire::Replica &Model) {
   for (const wire::Replica *it : listReplicasOn(State.Items, Model.endpoint()))
     if (it->is_adapter() && it->base() == Model.row())
@@ -162,9 +165,9 @@
   return false;
 }
 
-ProposalReply decideReplica(FleetState &State, const wire::Replica &Replica,
+ProposalReply createReplica(FleetState &State, const wire::Replica &Replica,
                             uint64_t Index) {
-  if (auto reason = refuseReplica(State, Replica))
+  if (auto reason = checkNewReplica(State, Replica))
     return invalid(State, *reason);
   wire::Item item;
   item.set_name(replicaItemName(Replica.endpoint(), Replica.row()));
@@ -178,33 +181,35 @@
                     uint64_t Index) {
   const wire::Replica &replica = Change.replica();
   if (!Change.remove() && replica.phase() == wire::PHASE_LOADING)
-    return decideReplica(State, replica, Index);
+    return createReplica(State, replica, Index);
   std::string name = replicaItemName(replica.endpoint(), replica.row());
   const wire::Replica *old =
       findReplica(State.Items, replica.endpoint(), replica.row());
   if (!old || old->fence() != replica.fence())
-    return invalid(State, "replica is not current");
-  // A later agent process may already act on what an earlier one disowned.
+    return invalid(State,
+                   "replica is unknown or its fencing token does not match");
+  // Reports of an earlier agent process are rejected: a later process may
+  // already be using a replica that the earlier one gave up.
   const wire::Endpoint *endpoint =
       findEndpoint(State.Items, replica.endpoint());
   bool isOutdated = Change.reporter() != 0 && endpoint &&
                     endpoint->incarnation() != Change.reporter();
   if (isOutdated)
-    return invalid(State, "report is of an earlier agent process");
+    return invalid(State, "report is not from the current agent process");
   if (Change.remove()) {
     State.Items.erase(name, Index);
     return accepted(State, Index);
   }
-  bool fits = replica.phase() == wire::PHASE_LOADED
-                  ? old->phase() == wire::PHASE_LOADING
-                  : old->phase() != wire::PHASE_UNLOADING;
-  if (!fits)
-    return invalid(State, "replica has moved on");
+  bool isValidTransition = replica.phase() == wire::PHASE_LOADED
+                               ? old->phase() == wire::PHASE_LOADING
+                               : old->phase() != wire::PHASE_UNLOADING;
+  if (!isValidTransition)
+    return invalid(State, "replica phase does not allow this change");
   if (replica.phase() == wire::PHASE_UNLOADING && hasAdapters(State, *old))
-    return invalid(State, "adapters need this model");
+    return invalid(State, "adapters on the endpoint depend on this model");
   wire::Item item = *State.Items.find(name);
   item.mutable_replica()->set_phase(replica.phase());
-  // An unload order gets a fencing number above that of the load.
+  // An unload order gets a higher fencing token than the load.
   if (replica.phase() == wire::PHASE_UNLOADING)
     item.mutable_replica()->set_fence(Index);
   State.Items.put(std::move(item), Index);
@@ -223,9 +228,9 @@
   std::string name = claimItemName(Request.digest());
   if (const wire::Item *old = State.Items.find(name)) {
     bool isOwn = old->claim().request_id() == Request.request_id();
-    ProposalReply reply =
-        isOwn ? accepted(State, Index)
-              : rejected(State, wire::PROPOSAL_DUPLICATE, "claim is held");
+    ProposalReply reply = isOwn ? accepted(State, Index)
+                                : rejected(State, wire::PROPOSAL_DUPLICATE,
+                                           "claim is held by another request");
     *reply.mutable_claim() = old->claim();
     return reply;
   }
@@ -249,7 +254,7 @@
   if (!old || old->claim().request_id() != Outcome.request_id())
     return invalid(State, "claim is not held by this request");
   if (Outcome.not_run() && old->claim().finished())
-    return invalid(State, "claim has an outcome");
+    return invalid(State, "claim already has an outcome");
   if (Outcome.not_run()) {
     State.Items.erase(name, Index);
     return accepted(State, Index);
@@ -278,15 +283,16 @@
   death.set_digest(Digest);
   death.add_deaths(DeathName);
   death.set_expires_ms(State.FleetTimeMs + QuarantineMs);
-  bool isGuilty = death.deaths_size() >= QuarantineDeaths;
+  bool reachesLimit = death.deaths_size() >= QuarantineDeaths;
   State.Items.put(std::move(item), Index);
-  if (!isGuilty)
+  if (!reachesLimit)
     return;
-  wire::Item barred;
-  barred.set_name(quarantineItemName(Digest));
-  barred.mutable_quarantine()->set_digest(Digest);
-  barred.mutable_quarantine()->set_expires_ms(State.FleetTimeMs + QuarantineMs);
-  State.Items.put(std::move(barred), Index);
+  wire::Item quarantined;
+  quarantined.set_name(quarantineItemName(Digest));
+  quarantined.mutable_quarantine()->set_digest(Digest);
+  quarantined.mutable_quarantine()->set_expires_ms(State.FleetTimeMs +
+                                                   QuarantineMs);
+  State.Items.put(std::move(quarantined), Index);
 }
 
 ProposalReply apply(FleetState &State, const wire::DeathRecord &Record,
@@ -330,8 +336,8 @@
   }
 }
 
-void keepResult(FleetState &State, const std::string &OperationId,
-                const ProposalReply &Reply) {
+void storeResult(FleetState &State, const std::string &OperationId,
+                 const ProposalReply &Reply) {
   State.Operations[OperationId] = Reply;
   State.OperationOrder.push_back(OperationId);
   if (State.OperationOrder.size() <= MaxOperationResults)
@@ -355,7 +361,7 @@
   ProposalReply reply = applyChange(State, Command, Index);
   State.Items.pruneDeletions(MaxDeletions);
   if (!operation.empty())
-    keepResult(State, operation, reply);
+    storeResult(State, operation, reply);
   return reply;
 }
 
@@ -381,10 +387,10 @@
     State.Items.put(it, it.version());
   State.Items.setOldestDelta(In.oldest_delta());
   for (const wire::OperationResult &it : In.operations())
-    keepResult(State, it.operation_id(), it.reply());
+    storeResult(State, it.operation_id(), it.reply());
 }
 
-uint64_t memoryTaken(const ItemStore &Items, const std::string &Endpoint) {
+uint64_t usedMemoryMb(const ItemStore &Items, const std::string &Endpoint) {
   uint64_t sum = 0;
   for (const wire::Replica *it : listReplicasOn(Items, Endpoint))
     sum += it->memory_mb();
--- a/fleet/fleet_state.h
+++ b/fleet/fleet_state.h
@@ -1,6 +1,6 @@
 /// \file
 /// The replicated state machine: applies committed commands to the fleet's
-/// items. Deterministic; every control member gets the same result.
+/// items. Deterministic, so that every control member reaches the same state.
 #ifndef SASSAFRAS_FLEET_FLEET_STATE_H
 #define SASSAFRAS_FLEET_FLEET_STATE_H
 
@@ -10,15 +10,16 @@
 
 namespace sassafras {
 
-/// Answers kept for resent operations.
+/// Number of operation results kept to answer resent operations.
 inline constexpr size_t MaxOperationResults = 4096;
-/// Deletions kept for deltas before a whole view is needed.
+/// Number of deletions kept for deltas. A node whose view is older than the
+/// oldest of them gets the whole view.
 inline constexpr size_t MaxDeletions = 4096;
-/// Deaths with the same request that lead to its quarantine.
+/// A request that was present at this many endpoint deaths is quarantined.
 inline constexpr int QuarantineDeaths = 2;
-/// Life of a quarantine and of a remembered death, in fleet time.
+/// Lifetime of a quarantine and of a death record, in fleet time.
 inline constexpr uint64_t QuarantineMs = 600'000;
-/// Most bytes of a recorded answer of a claimed request.
+/// Maximum size in bytes of the response body recorded for a claimed request.
 inline constexpr size_t MaxClaimBody = 64ULL * 1024;
 
 struct FleetState {
@@ -31,18 +32,18 @@
 };
 
 /// Applies \p Command, committed at log index \p Index, and returns the
-/// answer for its proposer. Not thread safe.
+/// reply for its proposer. Not thread safe.
 wire::ProposalReply applyCommand(FleetState &State,
                                  const wire::Command &Command, uint64_t Index);
 
-/// Writes the whole of \p State into \p Out.
+/// Writes all of \p State into \p Out, except the log index of the snapshot.
 void saveFleet(const FleetState &State, wire::Snapshot &Out);
-/// Replaces \p State by the content of \p In.
+/// Replaces \p State with the content of \p In.
 void loadFleet(FleetState &State, const wire::Snapshot &In);
 
-/// Memory taken on \p Endpoint by all its replicas, whatever their phase.
-uint64_t memoryTaken(const ItemStore &Items, const std::string &Endpoint);
-/// Replicas of \p Row in any phase.
+/// Memory in MB used on \p Endpoint by its replicas in any phase.
+uint64_t usedMemoryMb(const ItemStore &Items, const std::string &Endpoint);
+/// Number of replicas of \p Row in any phase.
 uint32_t countReplicas(const ItemStore &Items, const std::string &Row);
 
 } // namespace sassafras
--- a/tests/fleet/test_fleet_state.cpp
+++ b/tests/fleet/test_fleet_state.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Contract of the replicated state machine: limits are checked where a
-/// decision is applied, edits and operations have one winner.
+/// Tests of the replicated state machine: limits are checked when a command is
+/// applied, and only one of several edits of the same version is accepted.
 #include "fleet/fleet_state.h"
 #include "fleet/table.h"
 
@@ -33,19 +33,19 @@
                               "adapter,a1,m1,100,1,,,,\n"
                               "service,pay,,,,,,/pay,no\n";
 
-struct Bench {
-  Bench() {
+struct Fixture {
+  Fixture() {
     wire::Command command;
     *command.mutable_table_edit() = makeEdit(0, Table);
     apply(command);
     for (const char *it : {"e1", "e2", "e3"})
-      endpoint(it, 7, false);
+      putEndpoint(it, 7, false);
   }
 
   wire::ProposalReply apply(const wire::Command &Command) {
     return applyCommand(State, Command, ++Index);
   }
-  void endpoint(const char *Name, uint64_t Engine, bool IsLeaving) {
+  void putEndpoint(const char *Name, uint64_t Engine, bool IsLeaving) {
     wire::Command command;
     wire::Endpoint &it = *command.mutable_endpoint_change()->mutable_endpoint();
     it.set_name(Name);
@@ -55,10 +55,10 @@
     it.set_leaving(IsLeaving);
     apply(command);
   }
-  wire::ProposalStatus replica(const char *Row, const char *Endpoint,
-                               wire::ReplicaPhase Phase, uint64_t Fence = 0,
-                               bool IsRemoved = false, uint64_t Reporter = 0,
-                               uint64_t Engine = 7) {
+  wire::ProposalStatus
+  changeReplica(const char *Row, const char *Endpoint, wire::ReplicaPhase Phase,
+                uint64_t FencingToken = 0, bool IsRemoved = false,
+                uint64_t Reporter = 0, uint64_t Engine = 7) {
     wire::Command command;
     wire::ReplicaChange &change = *command.mutable_replica_change();
     change.set_remove(IsRemoved);
@@ -67,7 +67,7 @@
     it.set_row(Row);
     it.set_endpoint(Endpoint);
     it.set_phase(Phase);
-    it.set_fence(Fence);
+    it.set_fence(FencingToken);
     it.set_engine_incarnation(Engine);
     const wire::TableRow *row = findRow(State.Items, Row);
     it.set_memory_mb(row ? row->memory_mb() : 1);
@@ -75,12 +75,13 @@
     it.set_base(row ? row->base() : "");
     return apply(command).status();
   }
-  uint64_t fenceOf(const char *Row, const char *Endpoint) const {
+  uint64_t fencingTokenOf(const char *Row, const char *Endpoint) const {
     return findReplica(State.Items, Endpoint, Row)->fence();
   }
   void load(const char *Row, const char *Endpoint) {
-    replica(Row, Endpoint, wire::PHASE_LOADING);
-    replica(Row, Endpoint, wire::PHASE_LOADED, fenceOf(Row, Endpoint));
+    changeReplica(Row, Endpoint, wire::PHASE_LOADING);
+    changeReplica(Row, Endpoint, wire::PHASE_LOADED,
+                  fencingTokenOf(Row, Endpoint));
   }
 
   FleetState State;
@@ -89,198 +90,207 @@
 
 struct Case {
   const char *What;
-  std::function<wire::ProposalStatus(Bench &)> Do;
+  std::function<wire::ProposalStatus(Fixture &)> Run;
   wire::ProposalStatus Status;
 };
 
 constexpr auto Loading = wire::PHASE_LOADING;
 constexpr auto Loaded = wire::PHASE_LOADED;
 constexpr auto Unloading = wire::PHASE_UNLOADING;
-constexpr auto Good = wire::PROPOSAL_ACCEPTED;
-constexpr auto Bad = wire::PROPOSAL_INVALID;
+constexpr auto Accepted = wire::PROPOSAL_ACCEPTED;
+constexpr auto Invalid = wire::PROPOSAL_INVALID;
 
 } // namespace
 
-TEST_CASE("replica decisions are checked when they are applied") {
+TEST_CASE("replica changes are checked when they are applied") {
   const Case cases[] = {
-      {"room and a free replica",
-       [](Bench &It) { return It.replica("m1", "e1", Loading); }, Good},
-      {"memory is taken, also by what only loads",
-       [](Bench &It) {
-         It.replica("m1", "e1", Loading);
-         It.replica("m2", "e1", Loading);
-         return It.replica("m3", "e1", Loading);
+      {"enough memory and a free replica",
+       [](Fixture &It) { return It.changeReplica("m1", "e1", Loading); },
+       Accepted},
+      {"memory is used up, also by a loading replica",
+       [](Fixture &It) {
+         It.changeReplica("m1", "e1", Loading);
+         It.changeReplica("m2", "e1", Loading);
+         return It.changeReplica("m3", "e1", Loading);
        },
-       Bad},
-      {"memory is taken by what is being unloaded",
-       [](Bench &It) {
+       Invalid},
+      {"memory is used up, also by an unloading replica",
+       [](Fixture &It) {
          It.load("m1", "e1");
          It.load("m2", "e1");
-         It.replica("m1", "e1", Unloading, It.fenceOf("m1", "e1"));
-         return It.replica("m3", "e1", Loading);
+         It.changeReplica("m1", "e1", Unloading, It.fencingTokenOf("m1", "e1"));
+         return It.changeReplica("m3", "e1", Loading);
        },
-       Bad},
-      {"all replicas of the row exist",
-       [](Bench &It) {
+       Invalid},
+      {"row has reached max_replicas",
+       [](Fixture &It) {
          It.load("m1", "e1");
          It.load("m1", "e2");
-         return It.replica("m1", "e3", Loading);
+         return It.changeReplica("m1", "e3", Loading);
        },
-       Bad},
-      {"a replica that is being unloaded counts",
-       [](Bench &It) {
+       Invalid},
+      {"unloading replica counts towards max_replicas",
+       [](Fixture &It) {
          It.load("m2", "e1");
-         It.replica("m2", "e1", Unloading, It.fenceOf("m2", "e1"));
-         return It.replica("m2", "e2", Loading);
+         It.changeReplica("m2", "e1", Unloading, It.fencingTokenOf("m2", "e1"));
+         return It.changeReplica("m2", "e2", Loading);
        },
-       Bad},
+       Invalid},
       {"the same row twice on one endpoint",
-       [](Bench &It) {
+       [](Fixture &It) {
          It.load("m1", "e1");
-         return It.replica("m1", "e1", Loading);
+         return It.changeReplica("m1", "e1", Loading);
        },
-       Bad},
+       Invalid},
       {"endpoint unknown",
-       [](Bench &It) { return It.replica("m1", "e9", Loading); }, Bad},
-      {"endpoint leaves",
-       [](Bench &It) {
-         It.endpoint("e1", 7, true);
-         return It.replica("m1", "e1", Loading);
+       [](Fixture &It) { return It.changeReplica("m1", "e9", Loading); },
+       Invalid},
+      {"endpoint is leaving",
+       [](Fixture &It) {
+         It.putEndpoint("e1", 7, true);
+         return It.changeReplica("m1", "e1", Loading);
        },
-       Bad},
-      {"endpoint has another process by now",
-       [](Bench &It) {
-         return It.replica("m1", "e1", Loading, 0, false, 0, 6);
+       Invalid},
+      {"engine process is not the current one",
+       [](Fixture &It) {
+         return It.changeReplica("m1", "e1", Loading, 0, false, 0, 6);
        },
-       Bad},
-      {"row unknown", [](Bench &It) { return It.replica("m9", "e1", Loading); },
-       Bad},
+       Invalid},
+      {"row unknown",
+       [](Fixture &It) { return It.changeReplica("m9", "e1", Loading); },
+       Invalid},
       {"adapter without its model",
-       [](Bench &It) { return It.replica("a1", "e1", Loading); }, Bad},
-      {"adapter above its loaded model",
-       [](Bench &It) {
+       [](Fixture &It) { return It.changeReplica("a1", "e1", Loading); },
+       Invalid},
+      {"adapter whose base model is loaded",
+       [](Fixture &It) {
          It.load("m1", "e1");
-         return It.replica("a1", "e1", Loading);
+         return It.changeReplica("a1", "e1", Loading);
        },
-       Good},
-      {"model below an adapter cannot go",
-       [](Bench &It) {
+       Accepted},
+      {"model with a loaded adapter cannot be unloaded",
+       [](Fixture &It) {
          It.load("m1", "e1");
          It.load("a1", "e1");
-         return It.replica("m1", "e1", Unloading, It.fenceOf("m1", "e1"));
+         return It.changeReplica("m1", "e1", Unloading,
+                                 It.fencingTokenOf("m1", "e1"));
        },
-       Bad},
-      {"report about another decision",
-       [](Bench &It) {
-         It.replica("m1", "e1", Loading);
-         return It.replica("m1", "e1", Loaded, 1);
+       Invalid},
+      {"report with another fencing token",
+       [](Fixture &It) {
+         It.changeReplica("m1", "e1", Loading);
+         return It.changeReplica("m1", "e1", Loaded, 1);
        },
-       Bad},
+       Invalid},
       {"report of an earlier agent process",
-       [](Bench &It) {
-         It.replica("m1", "e1", Loading);
-         return It.replica("m1", "e1", Loaded, It.fenceOf("m1", "e1"), true, 2);
+       [](Fixture &It) {
+         It.changeReplica("m1", "e1", Loading);
+         return It.changeReplica("m1", "e1", Loaded,
+                                 It.fencingTokenOf("m1", "e1"), true, 2);
        },
-       Bad},
-      {"report of the present agent process",
-       [](Bench &It) {
-         It.replica("m1", "e1", Loading);
-         return It.replica("m1", "e1", Loaded, It.fenceOf("m1", "e1"), true, 3);
+       Invalid},
+      {"report of the current agent process",
+       [](Fixture &It) {
+         It.changeReplica("m1", "e1", Loading);
+         return It.changeReplica("m1", "e1", Loaded,
+                                 It.fencingTokenOf("m1", "e1"), true, 3);
        },
-       Good},
-      {"unloading does not turn back",
-       [](Bench &It) {
+       Accepted},
+      {"unloading replica cannot become loaded",
+       [](Fixture &It) {
          It.load("m1", "e1");
-         It.replica("m1", "e1", Unloading, It.fenceOf("m1", "e1"));
-         return It.replica("m1", "e1", Loaded, It.fenceOf("m1", "e1"));
+         It.changeReplica("m1", "e1", Unloading, It.fencingTokenOf("m1", "e1"));
+         return It.changeReplica("m1", "e1", Loaded,
+                                 It.fencingTokenOf("m1", "e1"));
        },
-       Bad},
+       Invalid},
   };
   for (const Case &it : cases) {
     INFO(it.What);
-    Bench bench;
-    CHECK(it.Do(bench) == it.Status);
+    Fixture fixture;
+    CHECK(it.Run(fixture) == it.Status);
   }
 }
 
-TEST_CASE("new endpoint process frees what the old one held") {
-  Bench bench;
-  bench.load("m1", "e1");
-  bench.endpoint("e1", 8, false);
-  CHECK_FALSE(findReplica(bench.State.Items, "e1", "m1"));
+TEST_CASE("new engine process drops the replicas of the old one") {
+  Fixture fixture;
+  fixture.load("m1", "e1");
+  fixture.putEndpoint("e1", 8, false);
+  CHECK_FALSE(findReplica(fixture.State.Items, "e1", "m1"));
 }
 
-TEST_CASE("of edits on one version one wins, and a resend gets its answer") {
-  Bench bench;
+TEST_CASE(
+    "one of two edits of a version is accepted, and a resend gets its reply") {
+  Fixture fixture;
   wire::Command first;
   first.set_operation_id("first");
   *first.mutable_table_edit() = makeEdit(1, Table);
   wire::Command second = first;
   second.set_operation_id("second");
-  CHECK(bench.apply(first).status() == Good);
-  CHECK(bench.apply(second).status() == wire::PROPOSAL_CONFLICT);
-  auto again = bench.apply(first);
-  CHECK(again.status() == Good);
+  CHECK(fixture.apply(first).status() == Accepted);
+  CHECK(fixture.apply(second).status() == wire::PROPOSAL_CONFLICT);
+  auto again = fixture.apply(first);
+  CHECK(again.status() == Accepted);
   CHECK(again.table_version() == 2);
-  CHECK(bench.State.TableVersion == 2);
-  CHECK(bench.apply(second).status() == wire::PROPOSAL_CONFLICT);
+  CHECK(fixture.State.TableVersion == 2);
+  CHECK(fixture.apply(second).status() == wire::PROPOSAL_CONFLICT);
 }
 
-TEST_CASE("edit with a fault changes nothing") {
-  Bench bench;
+TEST_CASE("invalid edit changes nothing") {
+  Fixture fixture;
   wire::Command command;
   *command.mutable_table_edit() = makeEdit(1, Table);
   command.mutable_table_edit()->mutable_rows(4)->set_base("nothing");
-  CHECK(bench.apply(command).status() == Bad);
-  CHECK(bench.State.TableVersion == 1);
-  CHECK(findRow(bench.State.Items, "a1")->base() == "m1");
+  CHECK(fixture.apply(command).status() == Invalid);
+  CHECK(fixture.State.TableVersion == 1);
+  CHECK(findRow(fixture.State.Items, "a1")->base() == "m1");
 }
 
-TEST_CASE("claim is held once, set free only without an outcome") {
-  Bench bench;
+TEST_CASE("claim has one holder and is released only without an outcome") {
+  Fixture fixture;
   auto claim = [&](const char *Id) {
     wire::Command command;
     command.mutable_claim()->set_digest("d");
     command.mutable_claim()->set_request_id(Id);
     command.mutable_claim()->set_window_ms(1000);
-    return bench.apply(command).status();
+    return fixture.apply(command).status();
   };
   auto outcome = [&](const char *Id, bool IsNotRun) {
     wire::Command command;
     command.mutable_claim_outcome()->set_digest("d");
     command.mutable_claim_outcome()->set_request_id(Id);
     command.mutable_claim_outcome()->set_not_run(IsNotRun);
-    return bench.apply(command).status();
+    return fixture.apply(command).status();
   };
-  CHECK(claim("r1") == Good);
-  CHECK(claim("r1") == Good);
+  CHECK(claim("r1") == Accepted);
+  CHECK(claim("r1") == Accepted);
   CHECK(claim("r2") == wire::PROPOSAL_DUPLICATE);
-  CHECK(outcome("r2", true) == Bad);
-  CHECK(outcome("r1", true) == Good);
-  CHECK(claim("r2") == Good);
-  CHECK(outcome("r2", false) == Good);
-  CHECK(outcome("r2", true) == Bad);
+  CHECK(outcome("r2", true) == Invalid);
+  CHECK(outcome("r1", true) == Accepted);
+  CHECK(claim("r2") == Accepted);
+  CHECK(outcome("r2", false) == Accepted);
+  CHECK(outcome("r2", true) == Invalid);
   CHECK(claim("r3") == wire::PROPOSAL_DUPLICATE);
-  // The window counts in the fleet's time.
+  // The claim's window is measured in fleet time.
   wire::Command later;
   later.set_fleet_time_ms(5000);
   later.mutable_noop();
-  bench.apply(later);
-  CHECK(claim("r4") == Good);
+  fixture.apply(later);
+  CHECK(claim("r4") == Accepted);
 }
 
-TEST_CASE("snapshot gives the same state back") {
-  Bench bench;
-  bench.load("m1", "e1");
+TEST_CASE("snapshot restores the same state") {
+  Fixture fixture;
+  fixture.load("m1", "e1");
   wire::Command command;
   command.set_operation_id("grant");
   command.mutable_key_grant()->set_key_id("k");
   command.mutable_key_grant()->set_key_hash("h");
   command.mutable_key_grant()->set_tenant("alpha");
-  bench.apply(command);
+  fixture.apply(command);
   wire::Snapshot snapshot;
-  saveFleet(bench.State, snapshot);
-  snapshot.set_index(bench.Index);
+  saveFleet(fixture.State, snapshot);
+  snapshot.set_index(fixture.Index);
   FleetState again;
   loadFleet(again, snapshot);
   wire::Snapshot copy;
