--- a/fleet/endpoint_directory.cpp
+++ b/fleet/endpoint_directory.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-/// True when \p Sighting is of an earlier process, or earlier, than what is
-/// known under its id or at its address.
+/// True when \p Sighting is older than what is known under its id, or is of an
+/// earlier process than the one at its address.
 bool isOutdated(const EndpointDirectory &Directory,
                 const wire::EndpointSighting &Sighting) {
   auto known = Directory.Endpoints.find(Sighting.id());
   if (known != Directory.Endpoints.end()) {
     const KnownEndpoint &it = known->second;
-    // A leave may tell neither its process nor a sequence.
+    // A leave notice may lack both the process's start time and a sequence.
     if (Sighting.has_left() && Sighting.born_ms() == 0)
       return false;
     if (Sighting.born_ms() != it.BornMs)
@@ -22,44 +22,46 @@
       return false;
     return it.HasLeft || Sighting.sequence() < it.Sequence;
   }
-  auto holder = Directory.IdByAddress.find(Sighting.address());
-  if (Sighting.address().empty() || holder == Directory.IdByAddress.end())
+  auto owner = Directory.IdByAddress.find(Sighting.address());
+  if (Sighting.address().empty() || owner == Directory.IdByAddress.end())
     return false;
-  auto other = Directory.Endpoints.find(holder->second);
+  auto other = Directory.Endpoints.find(owner->second);
   return other != Directory.Endpoints.end() &&
          Sighting.born_ms() < other->second.BornMs;
 }
 
-void readModels(const wire::EndpointSighting &Sighting, TimePoint ReadAt,
-                EngineState &Out) {
+void readEngineState(const wire::EndpointSighting &Sighting, TimePoint ReadAt,
+                     EngineState &Out) {
   Out = {};
   Out.ReadAt = ReadAt;
   for (const wire::LoadedModel &it : Sighting.models())
     Out.Models[it.name()] = {it.adapters().begin(), it.adapters().end()};
   Out.InMemory = {Sighting.in_memory().begin(), Sighting.in_memory().end()};
   Out.OnDisk = {Sighting.on_disk().begin(), Sighting.on_disk().end()};
-  // Not every announcement that is passed on tells of weights.
+  // An announcement passed on by another front may not list weights.
   Out.HasWeightLocations = !Out.InMemory.empty() || !Out.OnDisk.empty();
 }
 
-/// The process that stood at the address before is surely gone.
-void takeAddress(EndpointDirectory &Directory, const KnownEndpoint &Endpoint) {
-  std::string &holder = Directory.IdByAddress[Endpoint.Address];
-  if (!holder.empty() && holder != Endpoint.Id) {
-    auto it = Directory.Endpoints.find(holder);
+/// Assigns its address to \p Endpoint. A previous process at that address must
+/// have ended, so it is marked as left.
+void assignAddress(EndpointDirectory &Directory,
+                   const KnownEndpoint &Endpoint) {
+  std::string &owner = Directory.IdByAddress[Endpoint.Address];
+  if (!owner.empty() && owner != Endpoint.Id) {
+    auto it = Directory.Endpoints.find(owner);
     if (it != Directory.Endpoints.end() &&
         it->second.Address == Endpoint.Address)
       it->second.HasLeft = true;
   }
-  holder = Endpoint.Id;
+  owner = Endpoint.Id;
 }
 
-/// False for one whose address another process has taken since: a node that
-/// did not see it go has no use for it.
-bool holdsAddress(const EndpointDirectory &Directory,
-                  const KnownEndpoint &Endpoint) {
-  auto holder = Directory.IdByAddress.find(Endpoint.Address);
-  return holder != Directory.IdByAddress.end() && holder->second == Endpoint.Id;
+/// False when another process has taken over the endpoint's address since.
+/// Such an endpoint is of no use to a node that missed its end.
+bool ownsAddress(const EndpointDirectory &Directory,
+                 const KnownEndpoint &Endpoint) {
+  auto owner = Directory.IdByAddress.find(Endpoint.Address);
+  return owner != Directory.IdByAddress.end() && owner->second == Endpoint.Id;
 }
 
 SightingResult applyLeave(EndpointDirectory &Directory,
@@ -67,12 +69,12 @@
                           TimePoint Now) {
   auto it = Directory.Endpoints.find(Sighting.id());
   if (it == Directory.Endpoints.end()) {
-    KnownEndpoint gone;
-    gone.Id = Sighting.id();
-    gone.BornMs = Sighting.born_ms();
-    gone.HasLeft = true;
-    gone.HeardAt = Now;
-    Directory.Endpoints.emplace(gone.Id, gone);
+    KnownEndpoint left;
+    left.Id = Sighting.id();
+    left.BornMs = Sighting.born_ms();
+    left.HasLeft = true;
+    left.HeardAt = Now;
+    Directory.Endpoints.emplace(left.Id, left);
     return SightingResult::Changed;
   }
   bool isNew = !it->second.HasLeft;
@@ -94,7 +96,7 @@
   TimePoint heardAt = Now - Millis(Sighting.heard_ago_ms());
   KnownEndpoint &known = Directory.Endpoints[Sighting.id()];
   bool isNew = known.Id.empty() || known.BornMs != Sighting.born_ms();
-  // The sequence says which of two announcements is the later one.
+  // The sequence orders the announcements of one process.
   if (!isNew && Sighting.sequence() == known.Sequence) {
     known.HeardAt = std::max(known.HeardAt, heardAt);
     return SightingResult::Ignored;
@@ -115,20 +117,21 @@
   known.IsDraining = Sighting.is_draining();
   known.HeardAt = std::max(known.HeardAt, heardAt);
   known.WarmingUpUntil = heardAt + Millis(Sighting.cold_left_ms());
-  if (Sighting.remaining_ms() > 0 && known.TakenAwayAt == TimePoint())
-    known.TakenAwayAt = heardAt + Millis(Sighting.remaining_ms());
+  if (Sighting.remaining_ms() > 0 && known.TerminatesAt == TimePoint())
+    known.TerminatesAt = heardAt + Millis(Sighting.remaining_ms());
   if (Sighting.has_models())
-    readModels(Sighting, heardAt, Directory.Announced[known.Id]);
-  takeAddress(Directory, known);
+    readEngineState(Sighting, heardAt, Directory.Announced[known.Id]);
+  assignAddress(Directory, known);
   return isChanged ? SightingResult::Changed : SightingResult::Refreshed;
 }
 
 bool applyReport(EndpointDirectory &Directory, const wire::EngineReport &Report,
                  TimePoint Now) {
-  AgentReading &known = Directory.AgentReports[Report.address()];
+  AgentReport &known = Directory.AgentReports[Report.address()];
   uint64_t incarnation = Report.self().incarnation();
-  // An agent whose host's wall clock was set back starts with a lower number.
-  bool isRecent = Now - known.State.ReadAt < ReadingMemory;
+  // An agent restarted after its host's wall clock was set back has a lower
+  // incarnation; it is accepted once no recent report is known.
+  bool isRecent = Now - known.State.ReadAt < StaleReportWindow;
   bool isOld =
       (incarnation < known.Incarnation && isRecent) ||
       (incarnation == known.Incarnation && Report.number() <= known.Number);
@@ -168,13 +171,13 @@
   for (auto it = Directory.Endpoints.begin();
        it != Directory.Endpoints.end();) {
     const KnownEndpoint &known = it->second;
-    if (Now - known.HeardAt < GoneMemory) {
+    if (Now - known.HeardAt < EndpointRetention) {
       ++it;
       continue;
     }
-    auto holder = Directory.IdByAddress.find(known.Address);
-    if (holder != Directory.IdByAddress.end() && holder->second == known.Id) {
-      Directory.IdByAddress.erase(holder);
+    auto owner = Directory.IdByAddress.find(known.Address);
+    if (owner != Directory.IdByAddress.end() && owner->second == known.Id) {
+      Directory.IdByAddress.erase(owner);
       Directory.AgentReports.erase(known.Address);
     }
     Directory.Announced.erase(known.Id);
@@ -183,9 +186,9 @@
 }
 
 bool isServing(const KnownEndpoint &Endpoint, TimePoint Now) {
-  bool isTakenAway =
-      Endpoint.TakenAwayAt != TimePoint() && Now >= Endpoint.TakenAwayAt;
-  return !Endpoint.HasLeft && !isTakenAway &&
+  bool isTerminated =
+      Endpoint.TerminatesAt != TimePoint() && Now >= Endpoint.TerminatesAt;
+  return !Endpoint.HasLeft && !isTerminated &&
          Now - Endpoint.HeardAt < EndpointTimeout;
 }
 
@@ -195,26 +198,26 @@
 
 const EngineState *findEngineState(const EndpointDirectory &Directory,
                                    const KnownEndpoint &Endpoint) {
-  auto reading = Directory.AgentReports.find(Endpoint.Address);
-  // A report of the process before this one says nothing of it.
-  bool hasReading = reading != Directory.AgentReports.end() &&
-                    (reading->second.BornMs == 0 ||
-                     reading->second.BornMs == Endpoint.BornMs);
+  auto report = Directory.AgentReports.find(Endpoint.Address);
+  // A report about an earlier engine process does not apply to this one.
+  bool hasReport =
+      report != Directory.AgentReports.end() &&
+      (report->second.BornMs == 0 || report->second.BornMs == Endpoint.BornMs);
   auto announced = Directory.Announced.find(Endpoint.Id);
   if (announced == Directory.Announced.end())
-    return hasReading ? &reading->second.State : nullptr;
-  // An agent that fell silent is older news than the announcement.
-  if (hasReading && reading->second.State.ReadAt + EndpointTimeout / 2 >
-                        announced->second.ReadAt)
-    return &reading->second.State;
+    return hasReport ? &report->second.State : nullptr;
+  // If the agent has stopped reporting, the announcement is more recent.
+  if (hasReport && report->second.State.ReadAt + EndpointTimeout / 2 >
+                       announced->second.ReadAt)
+    return &report->second.State;
   return &announced->second;
 }
 
 uint64_t digestEndpoints(const EndpointDirectory &Directory) {
   uint64_t digest = 0;
   for (const auto &[id, it] : Directory.Endpoints) {
-    // One that left is as good as one that was never heard of.
-    if (it.HasLeft || !holdsAddress(Directory, it))
+    // An endpoint that has left counts the same as one never heard of.
+    if (it.HasLeft || !ownsAddress(Directory, it))
       continue;
     std::string text = id + '/' + std::to_string(it.BornMs) +
                        (it.IsDraining ? "/draining" : "/ready");
@@ -227,7 +230,7 @@
 makeSightings(const EndpointDirectory &Directory, TimePoint Now) {
   std::vector<wire::EndpointSighting> out;
   for (const auto &[id, it] : Directory.Endpoints) {
-    if (!holdsAddress(Directory, it))
+    if (!ownsAddress(Directory, it))
       continue;
     wire::EndpointSighting sighting;
     sighting.set_id(id);
@@ -240,9 +243,9 @@
     sighting.set_is_draining(it.IsDraining);
     sighting.set_has_left(it.HasLeft);
     sighting.set_heard_ago_ms(toMillis(Now - it.HeardAt));
-    if (it.TakenAwayAt != TimePoint())
+    if (it.TerminatesAt != TimePoint())
       sighting.set_remaining_ms(std::max<uint64_t>(
-          toMillis(it.TakenAwayAt - Now) + sighting.heard_ago_ms(), 1));
+          toMillis(it.TerminatesAt - Now) + sighting.heard_ago_ms(), 1));
     auto announced = Directory.Announced.find(id);
     if (announced != Directory.Announced.end()) {
       sighting.set_has_models(true);
--- a/fleet/endpoint_directory.h
+++ b/fleet/endpoint_directory.h
@@ -1,6 +1,7 @@
 /// \file
-/// Endpoints as a front knows them: soft state from announcements, which may
-/// be late, crossed or foreign, and from the reports of engine agents.
+/// A front's view of the endpoints. It is soft state, built from the reports of
+/// engine agents and from announcements, which may arrive late, out of order or
+/// from another process at the same address.
 #ifndef SASSAFRAS_FLEET_ENDPOINT_DIRECTORY_H
 #define SASSAFRAS_FLEET_ENDPOINT_DIRECTORY_H
 
@@ -15,17 +16,17 @@
 
 namespace sassafras {
 
-/// An endpoint that was not heard of for this long takes no work. Some missed
-/// announcements at the platform's pace of one in 1.2 s.
+/// An endpoint that has not been heard from for this long gets no work. This
+/// tolerates several lost announcements; the platform sends one every 1.2 s.
 inline constexpr Millis EndpointTimeout{6'000};
-/// Reports of an agent's earlier process are told apart for this long; some
-/// periods of its reports.
-inline constexpr Millis ReadingMemory{2'000};
-/// What is known of an endpoint that is gone is kept this long, so that late
-/// announcements do not bring it back.
-inline constexpr Millis GoneMemory{60'000};
+/// A report with a lower agent incarnation is rejected if the last accepted
+/// report is more recent than this, which covers several report periods.
+inline constexpr Millis StaleReportWindow{2'000};
+/// An endpoint is forgotten only after it has not been heard from for this
+/// long, so that late announcements do not restore one that has left.
+inline constexpr Millis EndpointRetention{60'000};
 
-/// Models and load of one engine, from its agent or its announcement.
+/// Models and load of one engine, as told by its agent or its announcement.
 struct EngineState {
   TimePoint ReadAt;
   bool IsFromAgent = false;
@@ -36,10 +37,11 @@
   uint64_t KvUsed = 0;
   uint64_t KvTotal = 0;
   uint64_t OrderDone = 0;
-  std::string AgentAddress; ///< Inner address of its agent, or empty.
-  std::string Loading; ///< Model that its agent was ordered to load, or empty.
-  std::map<std::string, std::set<std::string>> Models; ///< With adapters.
-  bool HasWeightLocations = false; ///< It was told what lies at this engine.
+  std::string AgentAddress; ///< Inner-protocol address, or empty.
+  std::string Loading;      ///< Model of its agent's load order, or empty.
+  /// Loaded models with their adapters.
+  std::map<std::string, std::set<std::string>> Models;
+  bool HasWeightLocations = false; ///< InMemory and OnDisk are known.
   std::set<std::string> InMemory;
   std::set<std::string> OnDisk;
 };
@@ -49,18 +51,18 @@
   std::string Service;
   std::string Address;
   std::string Zone;
-  uint64_t BornMs = 0; ///< By the endpoint's wall clock.
+  uint64_t BornMs = 0; ///< Start time by the endpoint's wall clock.
   uint64_t Sequence = 0;
   uint32_t Slots = 1;
   bool IsDraining = false;
   bool HasLeft = false;
-  TimePoint TakenAwayAt; ///< Set when it is removed at short notice.
+  TimePoint TerminatesAt; ///< Set after a notice of termination.
   TimePoint HeardAt;
-  TimePoint WarmingUpUntil; ///< Slower than later, just after its start.
+  TimePoint WarmingUpUntil; ///< It is slower just after its start.
 };
 
-/// What an agent said last of the engine at an address.
-struct AgentReading {
+/// Latest report of an agent on the engine at an address.
+struct AgentReport {
   uint64_t Incarnation = 0; ///< Of the agent.
   uint64_t Number = 0;
   uint64_t BornMs = 0; ///< Of the engine.
@@ -70,38 +72,41 @@
 struct EndpointDirectory {
   std::map<std::string, KnownEndpoint> Endpoints; ///< By id.
   std::map<std::string, std::string> IdByAddress;
-  std::map<std::string, AgentReading> AgentReports; ///< By engine address.
-  std::map<std::string, EngineState> Announced;     ///< By id.
+  std::map<std::string, AgentReport> AgentReports; ///< By engine address.
+  std::map<std::string, EngineState> Announced;    ///< By id.
 };
 
-/// What a sighting changed.
+/// Effect of a sighting on the directory.
 enum class SightingResult {
-  Ignored,   ///< Late, or older than what stands.
-  Refreshed, ///< Heard again, nothing else.
-  Changed,   ///< New, or its state differs.
+  Ignored,   ///< Outdated, or a repeat of the last announcement.
+  Refreshed, ///< Newer, without a change that others need.
+  Changed,   ///< New or left, or its address or draining state differs.
 };
 
-/// Takes in what was heard of an endpoint, here or at another front.
+/// Applies a sighting of an endpoint, made here or at another front.
 SightingResult applySighting(EndpointDirectory &Directory,
                              const wire::EndpointSighting &Sighting,
                              TimePoint Now);
-/// Takes in an agent's report. False when a newer one is known.
+/// Applies an agent's report. False when a newer one is known, or when the
+/// first report of an agent process has load figures only.
 bool applyReport(EndpointDirectory &Directory, const wire::EngineReport &Report,
                  TimePoint Now);
-/// Forgets what is gone for long.
+/// Removes endpoints that have not been heard from for EndpointRetention.
 void expireEndpoints(EndpointDirectory &Directory, TimePoint Now);
 
-/// True while it is there, though it may take no new work.
+/// True while the endpoint has not left, been terminated or timed out. It may
+/// be draining.
 bool isServing(const KnownEndpoint &Endpoint, TimePoint Now);
-/// True while new work may be sent there.
+/// True while new work may be sent to the endpoint.
 bool isUsable(const KnownEndpoint &Endpoint, TimePoint Now);
-/// Newest knowledge of its engine, or null.
+/// Newest known state of the endpoint's engine, or null.
 const EngineState *findEngineState(const EndpointDirectory &Directory,
                                    const KnownEndpoint &Endpoint);
-/// Digest over identity and state of all endpoints, equal at fronts that know
-/// the same.
+/// Digest over identity and draining state of the current endpoints; equal at
+/// fronts with the same knowledge.
 uint64_t digestEndpoints(const EndpointDirectory &Directory);
-/// Everything known, in the form in which it came.
+/// All known endpoints, those that have left included, as sightings that
+/// another front can apply.
 std::vector<wire::EndpointSighting>
 makeSightings(const EndpointDirectory &Directory, TimePoint Now);
 
--- a/tests/fleet/test_endpoint_directory.cpp
+++ b/tests/fleet/test_endpoint_directory.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Announcements that are late, crossed, doubled or foreign, and what each
-/// changes.
+/// Tests of announcements that are late, out of order, repeated or from another
+/// process, and of agent reports on an earlier engine process.
 #include "fleet/endpoint_directory.h"
 
 #include <catch2/catch.hpp>
@@ -32,14 +32,15 @@
   return out;
 }
 
-bool isUsed(const EndpointDirectory &Directory, const char *Id, TimePoint Now) {
+bool isUsableById(const EndpointDirectory &Directory, const char *Id,
+                  TimePoint Now) {
   auto it = Directory.Endpoints.find(Id);
   return it != Directory.Endpoints.end() && isUsable(it->second, Now);
 }
 
 } // namespace
 
-TEST_CASE("announcement is heeded only when it is the newest") {
+TEST_CASE("announcement takes effect only when it is the newest") {
   struct Case {
     const char *What;
     wire::EndpointSighting Later;
@@ -55,9 +56,9 @@
       {"draining", draining, false},
       {"late draining", lateDraining, true},
       {"draining of an earlier process", earlierProcess, true},
-      {"leave", leave("a", 100), false},
-      {"leave without a birth time", leave("a", 0), false},
-      {"leave of an earlier process", leave("a", 90), true},
+      {"leave notice", leave("a", 100), false},
+      {"leave notice without a start time", leave("a", 0), false},
+      {"leave notice of an earlier process", leave("a", 90), true},
       {"earlier process at its address", sighting("b", 90, 9), true},
       {"later process at its address", sighting("b", 110, 1), false},
   };
@@ -65,55 +66,55 @@
     INFO(it.What);
     EndpointDirectory directory;
     applySighting(directory, sighting("a", 100, 5), Start);
-    REQUIRE(isUsed(directory, "a", Start));
+    REQUIRE(isUsableById(directory, "a", Start));
     applySighting(directory, it.Later, Start);
-    CHECK(isUsed(directory, "a", Start) == it.IsUsed);
+    CHECK(isUsableById(directory, "a", Start) == it.IsUsed);
   }
 }
 
-TEST_CASE("endpoint that left is not brought back by a late announcement") {
+TEST_CASE("late announcement does not restore an endpoint that has left") {
   EndpointDirectory directory;
   applySighting(directory, sighting("a", 100, 5), Start);
   applySighting(directory, leave("a", 0), Start);
   CHECK(applySighting(directory, sighting("a", 100, 6), Start) ==
         SightingResult::Ignored);
-  CHECK_FALSE(isUsed(directory, "a", Start));
+  CHECK_FALSE(isUsableById(directory, "a", Start));
   // The same id in a new process is another endpoint.
   applySighting(directory, sighting("a", 200, 1), Start);
-  CHECK(isUsed(directory, "a", Start));
+  CHECK(isUsableById(directory, "a", Start));
 }
 
-TEST_CASE("endpoint is not used once it is silent or taken away") {
+TEST_CASE("endpoint is not usable after its timeout or termination") {
   EndpointDirectory directory;
   wire::EndpointSighting notice = sighting("a", 100, 5);
   notice.set_remaining_ms(1'000);
   applySighting(directory, notice, Start);
-  CHECK(isUsed(directory, "a", Start));
-  CHECK_FALSE(isUsed(directory, "a", Start + Millis(1'001)));
+  CHECK(isUsableById(directory, "a", Start));
+  CHECK_FALSE(isUsableById(directory, "a", Start + Millis(1'001)));
   applySighting(directory, sighting("b", 100, 5, "10.0.0.2:80"), Start);
-  CHECK(isUsed(directory, "b", Start + EndpointTimeout - Millis(1)));
-  CHECK_FALSE(isUsed(directory, "b", Start + EndpointTimeout));
+  CHECK(isUsableById(directory, "b", Start + EndpointTimeout - Millis(1)));
+  CHECK_FALSE(isUsableById(directory, "b", Start + EndpointTimeout));
 }
 
-TEST_CASE("fronts that were told in another order agree") {
-  EndpointDirectory one;
-  EndpointDirectory other;
-  const wire::EndpointSighting told[] = {
+TEST_CASE("digest does not depend on the order of sightings") {
+  EndpointDirectory first;
+  EndpointDirectory second;
+  const wire::EndpointSighting sightings[] = {
       sighting("a", 100, 5), sighting("b", 110, 1),
       sighting("c", 100, 2, "10.0.0.3:80"), leave("c", 100)};
-  for (const auto &it : told)
-    applySighting(one, it, Start);
-  for (size_t i = std::size(told); i > 0; --i)
-    applySighting(other, told[i - 1], Start);
-  CHECK(digestEndpoints(one) == digestEndpoints(other));
-  // One that has just started is told everything and agrees.
-  EndpointDirectory fresh;
-  for (const auto &it : makeSightings(one, Start))
-    applySighting(fresh, it, Start);
-  CHECK(digestEndpoints(fresh) == digestEndpoints(one));
+  for (const auto &it : sightings)
+    applySighting(first, it, Start);
+  for (size_t i = std::size(sightings); i > 0; --i)
+    applySighting(second, sightings[i - 1], Start);
+  CHECK(digestEndpoints(first) == digestEndpoints(second));
+  // A newly started front that gets all sightings has the same digest.
+  EndpointDirectory started;
+  for (const auto &it : makeSightings(first, Start))
+    applySighting(started, it, Start);
+  CHECK(digestEndpoints(started) == digestEndpoints(first));
 }
 
-TEST_CASE("report of an agent counts for the process that it read") {
+TEST_CASE("agent report applies only to the engine process that it describes") {
   EndpointDirectory directory;
   applySighting(directory, sighting("a", 100, 5), Start);
   wire::EngineReport report;
@@ -131,7 +132,7 @@
   report.clear_models();
   CHECK_FALSE(applyReport(directory, report, Start));
   CHECK(findEngineState(directory, known)->Models.contains("m"));
-  // The engine restarts: what was read of the process before says nothing.
+  // After an engine restart, reports about the earlier process do not apply.
   applySighting(directory, sighting("a", 200, 1), Start);
   CHECK_FALSE(findEngineState(directory, directory.Endpoints.at("a")));
 }
