--- a/fleet/item_store.cpp
+++ b/fleet/item_store.cpp
@@ -19,10 +19,10 @@
 void ItemStore::erase(const std::string &Name, uint64_t Version) {
   if (!find(Name))
     return;
-  wire::Item gone;
-  gone.set_name(Name);
-  gone.set_deleted(true);
-  put(std::move(gone), Version);
+  wire::Item deletion;
+  deletion.set_name(Name);
+  deletion.set_deleted(true);
+  put(std::move(deletion), Version);
 }
 
 const wire::Item *ItemStore::find(const std::string &Name) const {
@@ -104,7 +104,7 @@
 }
 
 static std::vector<const wire::Replica *>
-replicasUnder(const ItemStore &Items, const std::string &Prefix) {
+listReplicasByPrefix(const ItemStore &Items, const std::string &Prefix) {
   std::vector<const wire::Replica *> found;
   for (const wire::Item *it : Items.list(Prefix))
     found.push_back(&it->replica());
@@ -112,12 +112,12 @@
 }
 
 std::vector<const wire::Replica *> listReplicas(const ItemStore &Items) {
-  return replicasUnder(Items, "replica/");
+  return listReplicasByPrefix(Items, "replica/");
 }
 
 std::vector<const wire::Replica *> listReplicasOn(const ItemStore &Items,
                                                   const std::string &Endpoint) {
-  return replicasUnder(Items, replicaItemName(Endpoint, ""));
+  return listReplicasByPrefix(Items, replicaItemName(Endpoint, ""));
 }
 
 std::vector<const wire::Endpoint *> listEndpoints(const ItemStore &Items) {
--- a/fleet/item_store.h
+++ b/fleet/item_store.h
@@ -1,6 +1,6 @@
 /// \file
-/// Versioned items: the fleet's state as a map that can tell what changed
-/// since a version. Serves the control members and every node's view.
+/// The fleet's state as a map of versioned items that can list the changes
+/// since a version. Used by the control members and for every node's view.
 #ifndef SASSAFRAS_FLEET_ITEM_STORE_H
 #define SASSAFRAS_FLEET_ITEM_STORE_H
 
@@ -14,12 +14,12 @@
 
 namespace sassafras {
 
-/// Plain map of items by name with an index by version. Not thread safe.
+/// Map of items by name with an index by version. Not thread safe.
 class ItemStore {
 public:
-  /// Stores \p Item under its name at \p Version, over any older one.
+  /// Stores \p Item under its name at \p Version, replacing any earlier one.
   void put(wire::Item Item, uint64_t Version);
-  /// Marks the item deleted at \p Version. Unknown names are ignored.
+  /// Marks the item as deleted at \p Version. Unknown names are ignored.
   void erase(const std::string &Name, uint64_t Version);
   /// Item under \p Name, or null when there is none or it is deleted.
   const wire::Item *find(const std::string &Name) const;
@@ -27,9 +27,10 @@
   std::vector<const wire::Item *> list(std::string_view Prefix) const;
   /// Items changed after \p Version, deletions included, by version.
   std::vector<const wire::Item *> since(uint64_t Version) const;
-  /// Forgets deletions up to the newest \p Keep of them.
+  /// Forgets all deletions but the newest \p Keep.
   void pruneDeletions(size_t Keep);
-  /// Deltas can be given from this version on; below it only whole views.
+  /// Oldest version from which a delta can be given; an older view must be
+  /// replaced as a whole.
   uint64_t oldestDelta() const { return OldestDelta; }
   void setOldestDelta(uint64_t Version) { OldestDelta = Version; }
   void clear();
@@ -45,7 +46,7 @@
   uint64_t OldestDelta = 0;
 };
 
-/// Names of items by kind.
+/// Item names by kind.
 std::string rowItemName(const std::string &Row);
 std::string keyItemName(const std::string &KeyId);
 std::string endpointItemName(const std::string &Endpoint);
@@ -55,7 +56,7 @@
 std::string quarantineItemName(const std::string &Digest);
 std::string deathItemName(const std::string &Digest);
 
-/// Typed look-ups; null when there is none.
+/// Typed lookups; null when there is no such live item.
 const wire::TableRow *findRow(const ItemStore &Items, const std::string &Name);
 const wire::Endpoint *findEndpoint(const ItemStore &Items,
                                    const std::string &Name);
--- a/fleet/node_view.cpp
+++ b/fleet/node_view.cpp
@@ -10,16 +10,17 @@
   return {View.LeaderAddress};
 }
 
-std::vector<std::string> prepareHeartbeat(NodeView &View, wire::Heartbeat &Beat,
-                                          TimePoint Now) {
-  Beat.set_number(View.NextNumber++);
-  Beat.set_applied_version(View.Version);
-  Beat.set_views_seen(View.ViewsSeen);
-  View.SentAt[Beat.number()] = Now;
+std::vector<std::string>
+prepareHeartbeat(NodeView &View, wire::Heartbeat &Heartbeat, TimePoint Now) {
+  Heartbeat.set_number(View.NextNumber++);
+  Heartbeat.set_applied_version(View.Version);
+  Heartbeat.set_views_seen(View.ViewsSeen);
+  View.SentAt[Heartbeat.number()] = Now;
   if (View.SentAt.size() > MaxSentHeartbeats)
     View.SentAt.erase(View.SentAt.begin());
   View.NextHeartbeat = Now + timing::HeartbeatPeriod;
-  // A leader that is silent for two periods may be gone: ask everyone.
+  // A leader that has not replied for two periods may have failed, so the
+  // heartbeat goes to every control process.
   if (Now - View.LastReply > 2 * timing::HeartbeatPeriod)
     View.LeaderAddress.clear();
   return proposalTargets(View);
@@ -30,7 +31,7 @@
     View.Items.clear();
   for (const wire::Item &it : Reply.items())
     View.Items.put(it, it.version());
-  // A node never gives deltas, so it need not keep deletions.
+  // Nodes do not serve deltas, so deletions need not be kept.
   View.Items.pruneDeletions(0);
   View.Version = Reply.version();
   ++View.ViewsSeen;
@@ -42,8 +43,8 @@
   if (sent == View.SentAt.end() || Reply.term() < View.Term)
     return false;
   if (!Reply.is_leader()) {
-    bool isNews = Now - View.LastReply > 2 * timing::HeartbeatPeriod;
-    if (isNews && !Reply.leader_address().empty())
+    bool isLeaderSilent = Now - View.LastReply > 2 * timing::HeartbeatPeriod;
+    if (isLeaderSilent && !Reply.leader_address().empty())
       View.LeaderAddress = Reply.leader_address();
     return false;
   }
@@ -58,14 +59,14 @@
     View.FleetTimeMs = Reply.fleet_time_ms();
     View.FleetTimeAt = Now;
   }
-  bool isWhole = Reply.reset() || Reply.base_version() <= View.Version;
-  if (!isWhole)
+  bool isApplicable = Reply.reset() || Reply.base_version() <= View.Version;
+  if (!isApplicable)
     return false;
   bool isNewer = Reply.version() > View.Version;
   if (isNewer)
     applyItems(View, Reply);
-  // An older reply confirms nothing about what is held now, except that the
-  // leader had no more at that time; the later version includes it.
+  // A reply with an older version extends the lease too: the leader had nothing
+  // newer when it replied, and the version held here includes that one.
   View.LeaseEnd = std::max(View.LeaseEnd, sent->second + timing::ViewLease);
   return isNewer && Reply.items_size() > 0;
 }
--- a/fleet/node_view.h
+++ b/fleet/node_view.h
@@ -1,6 +1,6 @@
 /// \file
-/// A node's copy of the fleet's items, kept by heartbeats to the control
-/// leader, and how long that copy may be relied on.
+/// A node's copy of the fleet's items, updated by the replies to its heartbeats
+/// to the control leader, and the lease until which the copy may be relied on.
 #ifndef SASSAFRAS_FLEET_NODE_VIEW_H
 #define SASSAFRAS_FLEET_NODE_VIEW_H
 
@@ -13,7 +13,7 @@
 
 namespace sassafras {
 
-/// Times of sent heartbeats kept to match replies.
+/// Number of sent heartbeats whose send times are kept to match replies.
 inline constexpr size_t MaxSentHeartbeats = 32;
 
 struct NodeView {
@@ -23,30 +23,32 @@
   uint64_t Version = 0;
   uint64_t Term = 0;
   TimePoint TermSince;
-  /// Starts at the process's incarnation, so that no reply to an earlier
-  /// process is taken for one to this.
+  /// Starts at the process's incarnation, so that a reply to an earlier process
+  /// does not match a heartbeat of this one.
   uint64_t NextNumber = 1;
   std::map<uint64_t, TimePoint> SentAt;
-  TimePoint LeaseEnd;       ///< The view is confirmed until then.
+  TimePoint LeaseEnd;       ///< A leader has confirmed the view until then.
   TimePoint LastReply;      ///< From a leader.
-  uint64_t FleetTimeMs = 0; ///< At FleetTimeAt, by the leader of Term.
+  uint64_t FleetTimeMs = 0; ///< At FleetTimeAt, from the leader of Term.
   TimePoint FleetTimeAt;
   TimePoint NextHeartbeat;
   uint64_t ViewsSeen = 0;
 };
 
-/// Numbers \p Beat and notes its sending; returns the addresses it goes to.
-std::vector<std::string> prepareHeartbeat(NodeView &View, wire::Heartbeat &Beat,
-                                          TimePoint Now);
-/// Takes a reply. True when items changed. Replies that do not answer a
-/// heartbeat of this process, or are of an older leader, change nothing.
+/// Numbers \p Heartbeat, records its send time and returns the addresses to
+/// send it to.
+std::vector<std::string>
+prepareHeartbeat(NodeView &View, wire::Heartbeat &Heartbeat, TimePoint Now);
+/// Applies a reply. True when items changed. A reply that matches no recent
+/// heartbeat of this process, or is of an earlier term, changes nothing.
 bool applyHeartbeatReply(NodeView &View, const wire::HeartbeatReply &Reply,
                          TimePoint Now);
-/// True while the copy is confirmed by a leader.
+/// True while the lease on the copy, confirmed by a leader, has not expired.
 bool isConfirmed(const NodeView &View, TimePoint Now);
-/// Least time of the fleet that it can be now.
+/// Lower bound of the current fleet time; 0 while unknown.
 uint64_t fleetTimeMs(const NodeView &View, TimePoint Now);
-/// Where proposals go: the leader, or every control process while unknown.
+/// Addresses for proposals: the leader, or every control process while the
+/// leader is unknown.
 std::vector<std::string> proposalTargets(const NodeView &View);
 
 } // namespace sassafras
