--- a/fleet/roster.cpp
+++ b/fleet/roster.cpp
@@ -17,7 +17,8 @@
 bool recordNodeHeartbeat(Roster &Roster, const wire::NodeEntry &Entry,
                          TimePoint Now) {
   KnownNode &known = Roster.Nodes[Entry.name()];
-  // A host whose wall clock was set back starts with a lower number.
+  // A node restarted after its host's wall clock was set back has a lower
+  // incarnation; it is accepted once the earlier process is out of view.
   if (Entry.incarnation() < known.Entry.incarnation() && isInView(known, Now))
     return false;
   bool isNew = known.Entry.incarnation() != Entry.incarnation();
@@ -49,7 +50,7 @@
 
 void expireNodes(Roster &Roster, TimePoint Now) {
   std::erase_if(Roster.Nodes, [&](const auto &it) {
-    return Now - it.second.HeardAt > NodeMemory;
+    return Now - it.second.HeardAt > NodeRetention;
   });
 }
 
--- a/fleet/roster.h
+++ b/fleet/roster.h
@@ -1,6 +1,6 @@
 /// \file
-/// The nodes of a fleet as one node knows them. Nothing lists them: each is
-/// found from the seeds and from what other nodes pass on.
+/// The nodes of a fleet as one node knows them. There is no fixed list: nodes
+/// are found through the seeds and through entries passed on by other nodes.
 #ifndef SASSAFRAS_FLEET_ROSTER_H
 #define SASSAFRAS_FLEET_ROSTER_H
 
@@ -13,39 +13,41 @@
 
 namespace sassafras {
 
-/// A node without a sign of life for this long counts as out of view. Three
-/// heartbeats at their slowest pace.
+/// A node that has not been heard from for this long is out of view. Three
+/// heartbeats at their longest period.
 inline constexpr Millis NodeTimeout{2'400};
-/// A node out of view for this long is forgotten.
-inline constexpr Millis NodeMemory{30'000};
+/// A node that has not been heard from for this long is forgotten.
+inline constexpr Millis NodeRetention{30'000};
 
 struct KnownNode {
   wire::NodeEntry Entry;
   TimePoint HeardAt;
   bool IsLeaving = false;
-  uint64_t TableVersion = 0; ///< By its last heartbeat.
+  uint64_t TableVersion = 0; ///< From its last heartbeat.
 };
 
 struct Roster {
-  std::map<std::string, KnownNode> Nodes; ///< Others, by name.
+  std::map<std::string, KnownNode> Nodes; ///< Other nodes, by name.
 };
 
-/// A node spoke for itself. True when it is new or a new process.
+/// Records a heartbeat of the node itself. True when the node or its process is
+/// new.
 bool recordNodeHeartbeat(Roster &Roster, const wire::NodeEntry &Entry,
                          TimePoint Now);
-/// Another node passed on \p Entry. True when it was new.
+/// Merges \p Entry, passed on by another node. True when the node or its
+/// process is new.
 bool mergeNode(Roster &Roster, const wire::NodeEntry &Entry,
                const std::string &SelfName, TimePoint Now);
-/// Forgets nodes that are silent for long.
+/// Removes nodes that have not been heard from for NodeRetention.
 void expireNodes(Roster &Roster, TimePoint Now);
 bool isInView(const KnownNode &Node, TimePoint Now);
-/// Nodes of \p Kind in view, this one not counted.
+/// Number of nodes of \p Kind in view, this one excluded.
 size_t countInView(const Roster &Roster, wire::NodeKind Kind, TimePoint Now);
 /// Digest over the names and processes of nodes in view, \p Self included;
-/// equal at nodes that know the same.
+/// equal at nodes with the same nodes in view.
 uint64_t digestRoster(const Roster &Roster, const wire::NodeEntry &Self,
                       TimePoint Now);
-/// All nodes in view and this one, to pass on.
+/// All nodes in view and this one, to pass on to another node.
 wire::RosterUpdate makeRosterUpdate(const Roster &Roster,
                                     const wire::NodeEntry &Self, TimePoint Now);
 
