--- a/fleet/serving_table.cpp
+++ b/fleet/serving_table.cpp
@@ -14,7 +14,7 @@
   if (prefix.empty() || prefix.front() != '/' || prefix.back() != '/')
     return name + ": the path prefix must begin and end with a slash";
   if (Route.Timeout.count() <= 0)
-    return name + ": the timeout must not be 0";
+    return name + ": the timeout must be above 0";
   uint64_t sum = 0;
   for (const ServiceShare &it : Route.Services) {
     if (!Table.Services.contains(it.Service))
@@ -29,17 +29,17 @@
 } // namespace
 
 std::optional<std::string> checkServingTable(const ServingTable &Table) {
-  std::set<std::pair<std::string, std::string>> places;
+  std::set<std::pair<std::string, std::string>> prefixes;
   for (const ServingRoute &it : Table.Routes) {
     if (auto problem = checkRoute(Table, it))
       return problem;
-    if (!places.emplace(it.Host, it.PathPrefix).second)
-      return "route " + it.Name + ": host and path prefix stand twice";
+    if (!prefixes.emplace(it.Host, it.PathPrefix).second)
+      return "route " + it.Name + ": host and path prefix are used twice";
   }
-  std::map<std::string, std::string> holders;
+  std::map<std::string, std::string> owners;
   for (const OrganisationSpec &organisation : Table.Organisations)
     for (const std::string &key : organisation.Keys) {
-      auto [it, isNew] = holders.emplace(key, organisation.Name);
+      auto [it, isNew] = owners.emplace(key, organisation.Name);
       if (!isNew && it->second != organisation.Name)
         return "organisations " + it->second + " and " + organisation.Name +
                " share a key";
@@ -81,10 +81,10 @@
   uint64_t sum = std::accumulate(
       Route.Services.begin(), Route.Services.end(), uint64_t{0},
       [](uint64_t n, const ServiceShare &it) { return n + it.Weight; });
-  double rest = Point * static_cast<double>(sum);
+  double remainder = Point * static_cast<double>(sum);
   for (const ServiceShare &it : Route.Services) {
-    rest -= it.Weight;
-    if (rest < 0)
+    remainder -= it.Weight;
+    if (remainder < 0)
       return it.Service;
   }
   return Route.Services.back().Service;
--- a/fleet/serving_table.h
+++ b/fleet/serving_table.h
@@ -1,7 +1,7 @@
 /// \file
-/// What an operator wants served: routes, services with the models of their
-/// engines, organisations with keys and limits. One version replaces the
-/// whole.
+/// The operator's serving configuration: routes, services with the models of
+/// their engines, organisations with keys and limits. Each version replaces the
+/// whole table.
 #ifndef SASSAFRAS_FLEET_SERVING_TABLE_H
 #define SASSAFRAS_FLEET_SERVING_TABLE_H
 
@@ -26,7 +26,7 @@
 /// Name of \p Kind in metrics.
 std::string_view nameOf(RequestKind Kind);
 
-/// Part of a route's requests that goes to a service.
+/// A service of a route, with its weight in the split of the route's requests.
 struct ServiceShare {
   std::string Service;
   uint32_t Weight = 0;
@@ -37,12 +37,12 @@
   std::string Host;
   std::string PathPrefix; ///< Begins and ends with a slash.
   RequestKind Kind = RequestKind::NonIdempotent;
-  Millis Timeout{0};     ///< Longest time a caller is kept waiting.
-  Millis Objective{0};   ///< An answer within this time is on time.
-  Millis GapTarget{0};   ///< Longest pause between events of a stream.
+  Millis Timeout{0};     ///< Maximum time that a caller waits.
+  Millis Objective{0};   ///< A response within this time is on time.
+  Millis GapTarget{0};   ///< Longest intended gap between stream events.
   uint32_t Priority = 0; ///< 0 is the most urgent.
   uint32_t MaxAttempts = 1;
-  bool IsOpen = false; ///< No key needed.
+  bool IsOpen = false; ///< Requests need no API key.
   bool IsResumable = false;
   std::vector<ServiceShare> Services;
 };
@@ -52,12 +52,12 @@
   uint64_t WeightsMb = 0;
   uint64_t AdapterMb = 0;
   uint32_t AdapterCount = 0;
-  Millis StoreLoad{0};
-  Millis DiskLoad{0};
-  Millis MemoryLoad{0};
+  Millis StoreLoad{0};  ///< Load time from the weight store.
+  Millis DiskLoad{0};   ///< Load time from the engine's disk.
+  Millis MemoryLoad{0}; ///< Load time from the engine's memory.
 };
 
-/// Model engines of a service; all are alike.
+/// Model engines of a service, which are all of one size.
 struct EngineSpec {
   uint32_t Slots = 0;
   uint64_t KvTokens = 0;
@@ -70,20 +70,20 @@
 struct ServingService {
   std::string Name;
   uint32_t MaxConnections = 0;
-  std::optional<EngineSpec> Engine; ///< Absent for plain services.
+  std::optional<EngineSpec> Engine; ///< Absent without model engines.
 };
 
 struct OrganisationSpec {
   std::string Name;
   std::vector<std::string> Keys;
   uint32_t Priority = 0;
-  bool CountsTokens = false;
-  uint64_t PlainTokens = 1; ///< Cost of a request without token counts.
-  double RatePerSecond = 0; ///< 0 for no limit.
+  bool CountsTokens = false; ///< Else each request costs 1.
+  uint64_t PlainTokens = 1;  ///< Cost of a request without token counts.
+  double RatePerSecond = 0;  ///< 0 for no limit.
   double Burst = 0;
 };
 
-/// Bounds on what callers send.
+/// Limits on what callers may send.
 struct CallerLimits {
   uint32_t HeadBytes = 16 * 1024;
   uint64_t BodyBytes = 4ULL * 1024 * 1024;
@@ -97,7 +97,7 @@
   std::map<std::string, ServingService> Services;
   std::vector<OrganisationSpec> Organisations;
   CallerLimits Limits;
-  /// Filled by indexServingTable: positions in Routes by host, and in
+  /// Indexes filled by indexServingTable: positions in Routes by host, and in
   /// Organisations by key.
   std::multimap<std::string, size_t> RoutesByHost;
   std::map<std::string, size_t, std::less<>> OrganisationByKey;
@@ -105,20 +105,21 @@
 
 using ServingTablePtr = std::shared_ptr<const ServingTable>;
 
-/// Why \p Table must not come into force; nothing when it is sound. Pure and
-/// thread safe.
+/// Reason why \p Table is invalid; nothing when it is valid. Pure and thread
+/// safe.
 std::optional<std::string> checkServingTable(const ServingTable &Table);
-/// Fills the indexes. Precondition: the table is sound.
+/// Fills the indexes of \p Table. Precondition: the table is valid.
 void indexServingTable(ServingTable &Table);
-/// Route of the host with the longest prefix of \p Path, or null. Pure and
+/// Route of \p Host with the longest prefix of \p Path, or null. Pure and
 /// thread safe.
 const ServingRoute *findRoute(const ServingTable &Table, std::string_view Host,
                               std::string_view Path);
-/// Holder of \p Key, or null. Pure and thread safe.
+/// Organisation that holds \p Key, or null. Pure and thread safe.
 const OrganisationSpec *findOrganisation(const ServingTable &Table,
                                          std::string_view Key);
-/// Service for a request whose place in the split is \p Point, from 0 up to
-/// but not including 1. Pure and thread safe.
+/// Service for a request at \p Point of the weighted split, from 0 up to but
+/// not including 1. Precondition: the table of the route is valid. Pure and
+/// thread safe.
 const std::string &selectService(const ServingRoute &Route, double Point);
 
 } // namespace sassafras
--- a/tests/fleet/test_serving_table.cpp
+++ b/tests/fleet/test_serving_table.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Which tables may come into force, and which route a request takes.
+/// Tests of the validation of serving tables and of the selection of routes and
+/// services.
 #include "fleet/serving_table.h"
 
 #include <catch2/catch.hpp>
@@ -8,7 +9,7 @@
 
 namespace {
 
-ServingTable soundTable() {
+ServingTable makeValidTable() {
   ServingTable table;
   table.Version = 3;
   table.Services["chat"].Name = "chat";
@@ -32,7 +33,7 @@
 
 } // namespace
 
-TEST_CASE("serving table is refused for each fault") {
+TEST_CASE("serving table is rejected for each fault") {
   struct Fault {
     const char *What;
     void (*Make)(ServingTable &);
@@ -42,7 +43,7 @@
       {"unknown service",
        [](ServingTable &it) { it.Routes[0].Services[0].Service = "none"; },
        "unknown service"},
-      {"same place twice",
+      {"same host and path prefix twice",
        [](ServingTable &it) { it.Routes[1].PathPrefix = "/v/"; }, "twice"},
       {"weights of 0",
        [](ServingTable &it) {
@@ -57,10 +58,10 @@
        [](ServingTable &it) { it.Organisations[1].Keys = {"key-1"}; },
        "share a key"},
   };
-  CHECK_FALSE(checkServingTable(soundTable()));
+  CHECK_FALSE(checkServingTable(makeValidTable()));
   for (const Fault &it : faults) {
     INFO(it.What);
-    ServingTable table = soundTable();
+    ServingTable table = makeValidTable();
     it.Make(table);
     auto problem = checkServingTable(table);
     REQUIRE(problem);
@@ -68,8 +69,8 @@
   }
 }
 
-TEST_CASE("route is the longest prefix of its host") {
-  ServingTable table = soundTable();
+TEST_CASE("route with the longest prefix of the host is found") {
+  ServingTable table = makeValidTable();
   indexServingTable(table);
   struct Case {
     const char *Host;
@@ -89,8 +90,8 @@
   }
 }
 
-TEST_CASE("split sends each service its part") {
-  ServingTable table = soundTable();
+TEST_CASE("services are selected by weight") {
+  ServingTable table = makeValidTable();
   const ServingRoute &split = table.Routes[1];
   CHECK(selectService(split, 0.0) == "chat");
   CHECK(selectService(split, 0.74) == "chat");
@@ -99,7 +100,7 @@
 }
 
 TEST_CASE("key belongs to one organisation") {
-  ServingTable table = soundTable();
+  ServingTable table = makeValidTable();
   indexServingTable(table);
   REQUIRE(findOrganisation(table, "key-2"));
   CHECK(findOrganisation(table, "key-2")->Name == "first");
