--- a/fleet/table.cpp
+++ b/fleet/table.cpp
@@ -48,7 +48,7 @@
     {Column::Tenants, "tenants"},
 };
 
-constexpr uint64_t MostNumber = 1'000'000'000'000;
+constexpr uint64_t MaxNumber = 1'000'000'000'000;
 constexpr uint64_t MsPerSecond = 1000;
 constexpr uint64_t DefaultWaitMs = 30'000;
 constexpr uint64_t DefaultRepeatWindowMs = 3'600'000;
@@ -66,14 +66,15 @@
     {wire::ROW_SERVICE, "service"},
 };
 
-std::string_view kindName(wire::RowKind Kind) {
+std::string_view nameOfKind(wire::RowKind Kind) {
   for (const KindName &it : Kinds)
     if (it.Kind == Kind)
       return it.Name;
   return "unknown";
 }
 
-/// Splits one CSV line at commas; double quotes protect commas and quotes.
+/// Splits one CSV line at commas. Within double quotes a comma is literal and a
+/// doubled quote stands for one. Nothing when a quote is not closed.
 std::optional<std::vector<std::string>> splitLine(std::string_view Line) {
   std::vector<std::string> cells(1);
   bool isQuoted = false;
@@ -99,7 +100,7 @@
   auto [end, ec] =
       std::from_chars(Text.data(), Text.data() + Text.size(), Value);
   return ec == std::errc() && end == Text.data() + Text.size() &&
-         Value <= MostNumber;
+         Value <= MaxNumber;
 }
 
 bool parseFlag(const std::string &Text, bool &Value) {
@@ -117,12 +118,13 @@
   return false;
 }
 
-/// Stores one cell; returns the reason when it cannot be read.
+/// Stores a cell in a numeric column. Returns the reason when it is invalid, or
+/// an empty text.
 std::string_view storeNumber(TableRow &Row, Column Id,
                              const std::string &Text) {
   uint64_t n = 0;
   if (!parseNumber(Text, n))
-    return "not a whole number in range";
+    return "not an integer in range";
   if ((Id == Column::MaxReplicas || Id == Column::Weight) && n > 1'000'000)
     return "number is too large";
   switch (Id) {
@@ -197,7 +199,7 @@
     Row.set_max_replicas(1);
   if (Row.kind() == wire::ROW_SERVICE && Row.repeat_window_ms() == 0)
     Row.set_repeat_window_ms(DefaultRepeatWindowMs);
-  // A completion has no side effect, so it may always be repeated.
+  // Completions have no side effects, so they may always be repeated.
   if (Row.kind() == wire::ROW_MODEL || Row.kind() == wire::ROW_ADAPTER)
     Row.set_repeatable(true);
 }
@@ -212,7 +214,7 @@
         continue;
       for (Column seen : order)
         if (seen == it.Id) {
-          Problem = {0, cell, "column stands twice"};
+          Problem = {0, cell, "duplicate column"};
           return std::nullopt;
         }
       order.push_back(it.Id);
@@ -226,7 +228,7 @@
   return order;
 }
 
-bool isGoodName(const std::string &Name) {
+bool isValidName(const std::string &Name) {
   if (Name.empty() || Name.size() > MaxNameLength)
     return false;
   for (char it : Name)
@@ -241,39 +243,39 @@
          const std::map<std::string, const TableRow *> &ByName) {
   if (Row.kind() == wire::ROW_UNKNOWN)
     return TableProblem{Number, "kind", "missing"};
-  if (!isGoodName(Row.name()))
+  if (!isValidName(Row.name()))
     return TableProblem{Number, "name",
-                        "needs 1 to 128 letters, digits or -_.:"};
+                        "must have 1 to 128 letters, digits or -_.:"};
   if (Row.weight() == 0)
     return TableProblem{Number, "weight", "must be above zero"};
-  bool isLoaded =
+  bool isLoadable =
       Row.kind() == wire::ROW_MODEL || Row.kind() == wire::ROW_ADAPTER;
-  if (isLoaded && Row.memory_mb() == 0)
+  if (isLoadable && Row.memory_mb() == 0)
     return TableProblem{Number, "memory_mb", "must be above zero"};
   if (Row.kind() == wire::ROW_ADAPTER) {
     auto it = ByName.find(Row.base());
     if (it == ByName.end() || it->second->kind() != wire::ROW_MODEL)
-      return TableProblem{Number, "base", "no model " + Row.base()};
+      return TableProblem{Number, "base", "unknown model " + Row.base()};
   }
   if (Row.kind() == wire::ROW_TENANT && Row.burst() == 0)
     return TableProblem{Number, "burst", "must be above zero"};
   if (Row.kind() == wire::ROW_SERVICE && !Row.path().starts_with("/"))
     return TableProblem{Number, "path", "must start with /"};
   if (Row.kind() == wire::ROW_SERVICE && Row.path().starts_with("/v1/"))
-    return TableProblem{Number, "path", "/v1/ belongs to the models"};
+    return TableProblem{Number, "path", "/v1/ is reserved for the models"};
   return std::nullopt;
 }
 
 std::optional<TableProblem>
-checkTenantsOf(const TableRow &Row, size_t Number,
-               const std::map<std::string, const TableRow *> &ByName) {
+checkOrganisations(const TableRow &Row, size_t Number,
+                   const std::map<std::string, const TableRow *> &ByName) {
   std::string_view rest = Row.tenants();
   while (!rest.empty()) {
     size_t n = std::min(rest.find('|'), rest.size());
     std::string name(rest.substr(0, n));
     auto it = ByName.find(name);
     if (it == ByName.end() || it->second->kind() != wire::ROW_TENANT)
-      return TableProblem{Number, "tenants", "no organisation " + name};
+      return TableProblem{Number, "tenants", "unknown organisation " + name};
     rest.remove_prefix(std::min(n + 1, rest.size()));
   }
   return std::nullopt;
@@ -291,30 +293,30 @@
   return out + '"';
 }
 
-std::string printNumber(uint64_t Value) {
+std::string formatNumber(uint64_t Value) {
   return Value == 0 ? std::string() : std::to_string(Value);
 }
 
-std::string printCell(const TableRow &Row, Column Id) {
+std::string formatCell(const TableRow &Row, Column Id) {
   switch (Id) {
   case Column::Kind:
-    return std::string(kindName(Row.kind()));
+    return std::string(nameOfKind(Row.kind()));
   case Column::Name:
     return Row.name();
   case Column::Base:
     return Row.base();
   case Column::MemoryMb:
-    return printNumber(Row.memory_mb());
+    return formatNumber(Row.memory_mb());
   case Column::MaxReplicas:
-    return printNumber(Row.max_replicas());
+    return formatNumber(Row.max_replicas());
   case Column::Weight:
-    return printNumber(Row.weight());
+    return formatNumber(Row.weight());
   case Column::Rate:
-    return printNumber(Row.rate());
+    return formatNumber(Row.rate());
   case Column::Burst:
-    return printNumber(Row.burst());
+    return formatNumber(Row.burst());
   case Column::LongestWaitS:
-    return printNumber(Row.longest_wait_ms() / MsPerSecond);
+    return formatNumber(Row.longest_wait_ms() / MsPerSecond);
   case Column::Path:
     return Row.path();
   case Column::Open:
@@ -322,7 +324,7 @@
   case Column::Repeatable:
     return Row.repeatable() ? "yes" : "";
   case Column::RepeatWindowS:
-    return printNumber(Row.repeat_window_ms() / MsPerSecond);
+    return formatNumber(Row.repeat_window_ms() / MsPerSecond);
   case Column::Tenants:
     return Row.tenants();
   }
@@ -354,7 +356,7 @@
       continue;
     auto cells = splitLine(line);
     if (!cells) {
-      Problem = {number + 1, "", "quote is not closed"};
+      Problem = {number + 1, "", "unterminated quote"};
       return std::nullopt;
     }
     if (!heading) {
@@ -394,11 +396,11 @@
   std::map<std::string, const TableRow *> byName;
   for (size_t i = 0; i < Rows.size(); ++i)
     if (!byName.emplace(Rows[i].name(), &Rows[i]).second)
-      return TableProblem{i + 1, "name", Rows[i].name() + " stands twice"};
+      return TableProblem{i + 1, "name", Rows[i].name() + " is used twice"};
   for (size_t i = 0; i < Rows.size(); ++i) {
     if (auto problem = checkRow(Rows[i], i + 1, byName))
       return problem;
-    if (auto problem = checkTenantsOf(Rows[i], i + 1, byName))
+    if (auto problem = checkOrganisations(Rows[i], i + 1, byName))
       return problem;
   }
   return std::nullopt;
@@ -414,18 +416,18 @@
     for (const ColumnName &it : Columns) {
       if (it.Id != Column::Kind)
         line += ',';
-      line += quoteCell(printCell(row, it.Id));
+      line += quoteCell(formatCell(row, it.Id));
     }
     out += line + '\n';
   }
   return out;
 }
 
-bool allowsOrganisation(const TableRow &Row, const std::string &Tenant) {
+bool allowsOrganisation(const TableRow &Row, const std::string &Organisation) {
   if (Row.tenants().empty())
     return true;
   std::string list = "|" + Row.tenants() + "|";
-  return list.find("|" + Tenant + "|") != std::string::npos;
+  return list.find("|" + Organisation + "|") != std::string::npos;
 }
 
 } // namespace sassafras
--- a/fleet/table.h
+++ b/fleet/table.h
@@ -1,5 +1,6 @@
 /// \file
-/// The operators' table: CSV in and out, and the checks on a whole table.
+/// The operators' table: CSV parsing and formatting, and validation of a whole
+/// table.
 #ifndef SASSAFRAS_FLEET_TABLE_H
 #define SASSAFRAS_FLEET_TABLE_H
 
@@ -12,14 +13,14 @@
 
 namespace sassafras {
 
-/// What is wrong with a table and where.
+/// A fault in a table and its position.
 struct TableProblem {
-  size_t Row = 0;     ///< 1 for the first row below the heading.
-  std::string Column; ///< Empty when the whole row is meant.
+  size_t Row = 0;     ///< 1 for the first row below the heading, 0 for it.
+  std::string Column; ///< Empty if the fault is not in one column.
   std::string Reason;
 };
 
-/// One line for an operator.
+/// \p Problem as one line for an operator.
 std::string describe(const TableProblem &Problem);
 
 /// Parses CSV with a heading line. On failure returns nothing and sets
@@ -27,14 +28,16 @@
 std::optional<std::vector<wire::TableRow>> parseTable(std::string_view Csv,
                                                       TableProblem &Problem);
 
-/// Checks a whole table: names, references, limits. Nothing when it is good.
+/// Validates a whole table: names, references, limits. Returns the first
+/// problem, or nothing when the table is valid.
 std::optional<TableProblem> checkTable(const std::vector<wire::TableRow> &Rows);
 
-/// CSV of \p Rows with the heading line; parseTable gives the same rows back.
+/// CSV of \p Rows with the heading line; parseTable restores the same rows.
 std::string formatTable(const std::vector<wire::TableRow> &Rows);
 
-/// True when \p Row may be used by \p Tenant.
-bool allowsOrganisation(const wire::TableRow &Row, const std::string &Tenant);
+/// True when \p Row may be used by \p Organisation.
+bool allowsOrganisation(const wire::TableRow &Row,
+                        const std::string &Organisation);
 
 } // namespace sassafras
 
--- a/tests/fleet/test_table.cpp
+++ b/tests/fleet/test_table.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Contract of the operators' table: CSV in and out, and its checks.
+/// Tests of the operators' table: CSV parsing, formatting and validation.
 #include "fleet/table.h"
 
 #include <catch2/catch.hpp>
@@ -18,7 +18,7 @@
   const char *Column;
 };
 
-std::optional<TableProblem> problemOf(const std::string &Csv) {
+std::optional<TableProblem> findProblem(const std::string &Csv) {
   TableProblem problem;
   auto rows = parseTable(Csv, problem);
   if (!rows)
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("table names row and column of each problem") {
+TEST_CASE("table problem names its row and column") {
   std::string head = Heading;
   const BadTable cases[] = {
       {"unknown column", "kind,colour\n", 0, "colour"},
@@ -55,7 +55,7 @@
   };
   for (const BadTable &it : cases) {
     INFO(it.What);
-    auto problem = problemOf(it.Csv);
+    auto problem = findProblem(it.Csv);
     REQUIRE(problem);
     CHECK(problem->Row == it.Row);
     CHECK(problem->Column == it.Column);
@@ -63,7 +63,7 @@
   }
 }
 
-TEST_CASE("printed table reads back the same") {
+TEST_CASE("formatted table parses to the same rows") {
   std::string csv =
       "kind,name,base,memory_mb,max_replicas,weight,rate,burst,longest_wait_s,"
       "path,open,repeatable,repeat_window_s,tenants\r\n"
@@ -75,9 +75,9 @@
   auto rows = parseTable(csv, problem);
   REQUIRE(rows);
   REQUIRE_FALSE(checkTable(*rows));
-  auto again = parseTable(formatTable(*rows), problem);
-  REQUIRE(again);
-  REQUIRE(again->size() == rows->size());
+  auto reparsed = parseTable(formatTable(*rows), problem);
+  REQUIRE(reparsed);
+  REQUIRE(reparsed->size() == rows->size());
   for (size_t i = 0; i < rows->size(); ++i)
-    CHECK((*again)[i].SerializeAsString() == (*rows)[i].SerializeAsString());
+    CHECK((*reparsed)[i].SerializeAsString() == (*rows)[i].SerializeAsString());
 }
