--- a/fleet/node_view.cpp
+++ b/fleet/node_view.cpp
@@ -11,11 +11,11 @@
 }
 
 std::vector<std::string>
-prepareHeartbeat(NodeView &View, wire::Heartbeat &Heartbeat, TimePoint Now) {
-  Heartbeat.set_number(View.NextNumber++);
-  Heartbeat.set_applied_version(View.Version);
-  Heartbeat.set_views_seen(View.ViewsSeen);
-  View.SentAt[Heartbeat.number()] = Now;
+prepareHeartbeat(NodeView &View, wire::Heartbeat &Message, TimePoint Now) {
+  Message.set_number(View.NextNumber++);
+  Message.set_applied_version(View.Version);
+  Message.set_views_seen(View.ViewsSeen);
+  View.SentAt[Message.number()] = Now;
   if (View.SentAt.size() > MaxSentHeartbeats)
     View.SentAt.erase(View.SentAt.begin());
   View.NextHeartbeat = Now + timing::HeartbeatPeriod;
--- a/fleet/node_view.h
+++ b/fleet/node_view.h
@@ -35,10 +35,10 @@
   uint64_t ViewsSeen = 0;
 };
 
-/// Numbers \p Heartbeat, records its send time and returns the addresses to
+/// Numbers \p Message, records its send time and returns the addresses to
 /// send it to.
 std::vector<std::string>
-prepareHeartbeat(NodeView &View, wire::Heartbeat &Heartbeat, TimePoint Now);
+prepareHeartbeat(NodeView &View, wire::Heartbeat &Message, TimePoint Now);
 /// Applies a reply. True when items changed. A reply that matches no recent
 /// heartbeat of this process, or is of an earlier term, changes nothing.
 bool applyHeartbeatReply(NodeView &View, const wire::HeartbeatReply &Reply,
--- a/tests/fleet/test_endpoint_directory.cpp
+++ b/tests/fleet/test_endpoint_directory.cpp
@@ -97,21 +97,21 @@
 }
 
 TEST_CASE("digest does not depend on the order of sightings") {
-  EndpointDirectory first;
-  EndpointDirectory second;
+  EndpointDirectory ordered;
+  EndpointDirectory reversed;
   const wire::EndpointSighting sightings[] = {
       sighting("a", 100, 5), sighting("b", 110, 1),
       sighting("c", 100, 2, "10.0.0.3:80"), leave("c", 100)};
   for (const auto &it : sightings)
-    applySighting(first, it, Start);
+    applySighting(ordered, it, Start);
   for (size_t i = std::size(sightings); i > 0; --i)
-    applySighting(second, sightings[i - 1], Start);
-  CHECK(digestEndpoints(first) == digestEndpoints(second));
+    applySighting(reversed, sightings[i - 1], Start);
+  CHECK(digestEndpoints(ordered) == digestEndpoints(reversed));
   // A newly started front that gets all sightings has the same digest.
   EndpointDirectory started;
-  for (const auto &it : makeSightings(first, Start))
+  for (const auto &it : makeSightings(ordered, Start))
     applySighting(started, it, Start);
-  CHECK(digestEndpoints(started) == digestEndpoints(first));
+  CHECK(digestEndpoints(started) == digestEndpoints(ordered));
 }
 
 TEST_CASE("agent report applies only to the engine process that it describes") {
