--- a/ctl/commands.cpp
+++ b/ctl/commands.cpp
@@ -122,7 +122,7 @@
   auto status = Context.Client.status("row/");
   if (!status)
     return failUnreachable(Context);
-  std::string csv = printTable(listRows(*status));
+  std::string csv = formatTable(listRows(*status));
   if (!Context.Options.IsJson) {
     std::cerr << "version " << status->table_version() << '\n';
     std::cout << csv;
--- a/fleet/roster.cpp
+++ b/fleet/roster.cpp
@@ -14,9 +14,11 @@
 
 } // namespace
 
-bool hearNode(Roster &Roster, const wire::NodeEntry &Entry, TimePoint Now) {
+bool recordNodeHeartbeat(Roster &Roster, const wire::NodeEntry &Entry,
+                         TimePoint Now) {
   KnownNode &known = Roster.Nodes[Entry.name()];
-  // A host whose wall clock was set back starts with a lower number.
+  // A node restarted after its host's wall clock was set back has a lower
+  // incarnation; it is accepted once the earlier process is out of view.
   if (Entry.incarnation() < known.Entry.incarnation() && isInView(known, Now))
     return false;
   bool isNew = known.Entry.incarnation() != Entry.incarnation();
@@ -27,7 +29,7 @@
   return isNew;
 }
 
-bool learnNode(Roster &Roster, const wire::NodeEntry &Entry,
+bool mergeNode(Roster &Roster, const wire::NodeEntry &Entry,
                const std::string &SelfName, TimePoint Now) {
   if (Entry.name().empty() || Entry.name() == SelfName)
     return false;
@@ -48,12 +50,12 @@
 
 void expireNodes(Roster &Roster, TimePoint Now) {
   std::erase_if(Roster.Nodes, [&](const auto &it) {
-    return Now - it.second.HeardAt > NodeMemory;
+    return Now - it.second.HeardAt > NodeRetention;
   });
 }
 
 bool isInView(const KnownNode &Node, TimePoint Now) {
-  return Now - Node.HeardAt < NodeSilence;
+  return Now - Node.HeardAt < NodeTimeout;
 }
 
 size_t countInView(const Roster &Roster, wire::NodeKind Kind, TimePoint Now) {
@@ -72,8 +74,9 @@
   return digest;
 }
 
-wire::RosterUpdate printRoster(const Roster &Roster,
-                               const wire::NodeEntry &Self, TimePoint Now) {
+wire::RosterUpdate makeRosterUpdate(const Roster &Roster,
+                                    const wire::NodeEntry &Self,
+                                    TimePoint Now) {
   wire::RosterUpdate out;
   *out.add_nodes() = Self;
   for (const auto &[name, it] : Roster.Nodes) {
--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -80,7 +80,7 @@
   out.Id = Known.Id;
   out.Zone = Known.Zone;
   out.Slots = Known.Slots;
-  out.IsWarmingUp = !isPast(Known.SlowUntil, Now);
+  out.IsWarmingUp = !isPast(Known.WarmingUpUntil, Now);
   if (!Request.Attributes.PromptHead.empty())
     out.Affinity =
         static_cast<double>(
@@ -99,7 +99,7 @@
       continue;
     ++out.UsableCount;
     const EngineState *engine =
-        IsEngine ? engineOf(State.Directory, known) : nullptr;
+        IsEngine ? findEngineState(State.Directory, known) : nullptr;
     if (IsEngine) {
       if (!engine || engine->IsSilent)
         continue;
@@ -130,7 +130,7 @@
   for (size_t i = 0; i < Found.Candidates.size(); ++i) {
     const EndpointCandidate &it = Found.Candidates[i];
     bool isFull = estimateLoad(*it.Record, Now) >= it.Slots;
-    if (Found.Engines[i]->Agent.empty() || isFull ||
+    if (Found.Engines[i]->AgentAddress.empty() || isFull ||
         !isPast(it.Record->PausedUntil, Now))
       continue;
     uint64_t rank = checksumOf(Request.Attributes.Model + '/' +
@@ -151,7 +151,7 @@
     return std::nullopt;
   next = Now + AdapterRetryPeriod;
   AdapterLoadRequest out;
-  out.Agent = Found.Engines[*best]->Agent;
+  out.Agent = Found.Engines[*best]->AgentAddress;
   out.Payload.set_engine_address(target.Address);
   out.Payload.set_endpoint(target.Id);
   out.Payload.set_model(Request.Attributes.Model);
@@ -644,8 +644,8 @@
     else
       model->second.erase(Request.Attributes.Adapter);
   };
-  auto reading = State.Directory.Readings.find(known->second.Address);
-  if (reading != State.Directory.Readings.end())
+  auto reading = State.Directory.AgentReports.find(known->second.Address);
+  if (reading != State.Directory.AgentReports.end())
     forget(reading->second.State);
   auto announced = State.Directory.Announced.find(Endpoint);
   if (announced != State.Directory.Announced.end())
--- a/front/fleet_view.cpp
+++ b/front/fleet_view.cpp
@@ -30,7 +30,7 @@
   std::vector<std::string> out;
   for (const auto &[name, it] : State.Roster.Nodes)
     if (it.Entry.kind() == wire::NODE_FRONT &&
-        Now - it.HeardAt < 2 * NodeSilence)
+        Now - it.HeardAt < 2 * NodeTimeout)
       out.push_back(it.Entry.address());
   return out;
 }
@@ -62,7 +62,7 @@
 bool isNewerLeader(const FrontState &State,
                    const wire::NodeHeartbeat &Heartbeat, TimePoint Now) {
   return Heartbeat.term() >= State.Leader.Term ||
-         Now - State.Leader.HeardAt > NodeSilence;
+         Now - State.Leader.HeardAt > NodeTimeout;
 }
 
 } // namespace
@@ -154,7 +154,7 @@
         HeartbeatPeriod / 2;
   }
   std::set<std::string> recipients;
-  bool hasLeader = !IsLeader && Now - State.Leader.HeardAt < NodeSilence;
+  bool hasLeader = !IsLeader && Now - State.Leader.HeardAt < NodeTimeout;
   if (hasLeader) {
     wire::Envelope toLeader = message;
     collectOwnDemand(State, *toLeader.mutable_node_heartbeat(), Now);
@@ -207,11 +207,11 @@
     // An agent learns the fronts in view only from this reply.
     wire::Envelope message;
     *message.mutable_roster_update() =
-        printRoster(State.Roster, State.Self, Now);
+        makeRosterUpdate(State.Roster, State.Self, Now);
     send(Out, self.address(), std::move(message));
     return;
   }
-  bool isNew = hearNode(State.Roster, self, Now);
+  bool isNew = recordNodeHeartbeat(State.Roster, self, Now);
   State.Roster.Nodes[self.name()].IsLeaving = Heartbeat.is_leaving();
   if (Heartbeat.is_leader() && isNewerLeader(State, Heartbeat, Now))
     setLeader(State, Heartbeat, Now, Out);
@@ -235,7 +235,7 @@
       mayResync(Gossip, self.address(), "/roster", Now)) {
     wire::Envelope message;
     *message.mutable_roster_update() =
-        printRoster(State.Roster, State.Self, Now);
+        makeRosterUpdate(State.Roster, State.Self, Now);
     send(Out, self.address(), std::move(message));
   }
   if (Heartbeat.endpoint_digest() != digestEndpoints(State.Directory) &&
@@ -243,7 +243,7 @@
     wire::Envelope message;
     wire::EndpointNews &news = *message.mutable_endpoint_news();
     news.set_is_whole(true);
-    for (wire::EndpointSighting &it : printEndpoints(State.Directory, Now))
+    for (wire::EndpointSighting &it : makeSightings(State.Directory, Now))
       *news.add_endpoints() = std::move(it);
     send(Out, self.address(), std::move(message));
   }
@@ -252,7 +252,7 @@
 void applyRosterUpdate(FrontState &State, const wire::RosterUpdate &Update,
                        TimePoint Now) {
   for (const wire::NodeEntry &it : Update.nodes())
-    learnNode(State.Roster, it, State.Self.name(), Now);
+    mergeNode(State.Roster, it, State.Self.name(), Now);
 }
 
 void applyEndpointNews(FrontState &State, const wire::EndpointNews &News,
--- a/front/front_status.cpp
+++ b/front/front_status.cpp
@@ -10,7 +10,7 @@
     return "leaving";
   if (!isUsable(Endpoint, Now) || (Engine && Engine->IsSilent))
     return "silent";
-  return isPast(Endpoint.SlowUntil, Now) ? "usable" : "slow";
+  return isPast(Endpoint.WarmingUpUntil, Now) ? "usable" : "slow";
 }
 
 void fillEngineStatus(const EngineState &Engine, TimePoint Now,
@@ -43,7 +43,7 @@
     node.set_applied_version(it.TableVersion);
   }
   for (const auto &[id, known] : State.Directory.Endpoints) {
-    const EngineState *engine = engineOf(State.Directory, known);
+    const EngineState *engine = findEngineState(State.Directory, known);
     wire::EndpointStatus &endpoint = *Out.add_endpoints();
     endpoint.set_id(id);
     endpoint.set_service(known.Service);
--- a/front/leader_work.cpp
+++ b/front/leader_work.cpp
@@ -178,8 +178,8 @@
     const KnownEndpoint &known = it.second;
     if (!isUsable(known, Now) || !findEngineSpec(State, known.Service))
       return true;
-    const EngineState *engine = engineOf(State.Directory, known);
-    return engine && engine->KnowsWeights;
+    const EngineState *engine = findEngineState(State.Directory, known);
+    return engine && engine->HasWeightLocations;
   });
 }
 
@@ -217,7 +217,7 @@
   for (const auto &[id, known] : State.Directory.Endpoints) {
     if (known.Service != Service || known.HasLeft)
       continue;
-    const EngineState *engine = engineOf(State.Directory, known);
+    const EngineState *engine = findEngineState(State.Directory, known);
     if (!engine)
       continue;
     PlanEngine plan;
@@ -322,7 +322,7 @@
             {"from_store", Load.IsFromStore ? "yes" : "no"},
             {"report_age_ms", std::to_string(toMillis(
                                   Now - Survey.States[Load.Engine]->ReadAt))}});
-  Out.push_back({Survey.States[Load.Engine]->Agent, std::move(message)});
+  Out.push_back({Survey.States[Load.Engine]->AgentAddress, std::move(message)});
   Leader.Orders[target.Address] = std::move(order);
 }
 
@@ -393,7 +393,7 @@
   for (const auto &[name, it] : State.Roster.Nodes)
     // A front that is out of view may still be using its last share.
     if (it.Entry.kind() == wire::NODE_FRONT &&
-        Now - it.HeardAt < NodeSilence + ShareLifetime)
+        Now - it.HeardAt < NodeTimeout + ShareLifetime)
       fronts.push_back(name);
   std::map<std::string, wire::RateShares> shares;
   for (const OrganisationSpec &organisation : State.Table->Organisations) {
@@ -496,7 +496,7 @@
                                               TimePoint Now) {
   std::optional<Millis> best;
   for (const auto &[id, known] : State.Directory.Endpoints) {
-    const EngineState *engine = engineOf(State.Directory, known);
+    const EngineState *engine = findEngineState(State.Directory, known);
     if (!engine || !isUsable(known, Now) || !hasWeights(*engine, Model))
       continue;
     auto order = Leader.Orders.find(known.Address);
@@ -534,7 +534,7 @@
   for (const auto &[address, order] : Leader.Orders)
     record(order.Model, order.ReadyAt);
   for (const auto &[id, known] : State.Directory.Endpoints) {
-    const EngineState *engine = engineOf(State.Directory, known);
+    const EngineState *engine = findEngineState(State.Directory, known);
     const ModelSpec *spec = engine && isServing(known, Now)
                                 ? findModelSpec(State, engine->Loading)
                                 : nullptr;
@@ -629,7 +629,7 @@
                                 const FrontState &State, TimePoint Now) {
   std::map<std::string, size_t> replicas;
   for (const auto &[id, known] : State.Directory.Endpoints) {
-    const EngineState *engine = engineOf(State.Directory, known);
+    const EngineState *engine = findEngineState(State.Directory, known);
     if (!engine || !isUsable(known, Now))
       continue;
     for (const auto &[model, adapters] : engine->Models)
