--- a/core/compress.cpp
+++ b/core/compress.cpp
@@ -25,7 +25,7 @@
   return out;
 }
 
-std::optional<std::string> expandText(std::string_view Bytes, size_t Most) {
+std::optional<std::string> decompressText(std::string_view Bytes, size_t Most) {
   uint64_t length = 0;
   if (Bytes.size() < HeaderSize)
     return std::nullopt;
--- a/core/compress.h
+++ b/core/compress.h
@@ -13,7 +13,7 @@
 std::string compressText(std::string_view Text);
 /// Nothing when \p Bytes were not made by compressText, or hold more than
 /// \p Most bytes. Thread safe.
-std::optional<std::string> expandText(std::string_view Bytes, size_t Most);
+std::optional<std::string> decompressText(std::string_view Bytes, size_t Most);
 
 } // namespace sassafras
 
--- a/front/fleet_api.cpp
+++ b/front/fleet_api.cpp
@@ -146,7 +146,7 @@
                            errorBody("the group has no leader now"));
   } else if (call.IsPut) {
     call.Exchange->respond(StatusOk, jsonHeaders(), "{}\n");
-  } else if (auto text = expandText(Answer.Content, MaxTableBytes)) {
+  } else if (auto text = decompressText(Answer.Content, MaxTableBytes)) {
     call.Exchange->respond(StatusOk, jsonHeaders(), std::move(*text));
   } else {
     logEvent(LogLevel::Error, "table_unreadable",
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -467,7 +467,7 @@
   if (state.Table && Version <= state.Table->Version)
     return;
   std::string problem;
-  auto text = expandText(Content, MaxTableBytes);
+  auto text = decompressText(Content, MaxTableBytes);
   ServingTablePtr table = text ? platform::readTable(*text, problem) : nullptr;
   if (!table) {
     logEvent(LogLevel::Error, "table_unreadable",
