--- a/control/control_shell.cpp
+++ b/control/control_shell.cpp
@@ -83,7 +83,7 @@
              {{"bytes", std::to_string(content->TornBytes)}});
   RaftSelf self{Options.Node, content->Identity, Peers->address()};
   TimePoint now = Clock::now();
-  uint64_t seed = drawIdentity();
+  uint64_t seed = generateIdentity();
   RaftState raft = content->IsBlank
                        ? makeBlankRaft(self, Options.Control, seed, now)
                        : restoreRaft(self, Options.Control, content->Snapshot,
--- a/control/serving_group.cpp
+++ b/control/serving_group.cpp
@@ -78,10 +78,10 @@
                 timing::QuickGroup};
   RaftState raft =
       content->IsBlank
-          ? makeBlankRaft(self, Options.Seeds, drawIdentity(), now)
+          ? makeBlankRaft(self, Options.Seeds, generateIdentity(), now)
           : restoreRaft(self, Options.Seeds, content->Snapshot,
                         content->HardState, std::move(content->Entries),
-                        drawIdentity(), now);
+                        generateIdentity(), now);
   raft.MayForm = Options.MayForm;
   raft.MayJoin = true;
   if (!Greet.empty())
--- a/core/hash.cpp
+++ b/core/hash.cpp
@@ -60,7 +60,7 @@
   return XXH64(Bytes.data(), Bytes.size(), 0);
 }
 
-uint64_t drawIdentity() {
+uint64_t generateIdentity() {
   uint64_t n = 0;
   while (n == 0)
     drawBytes(reinterpret_cast<unsigned char *>(&n), sizeof n);
--- a/core/hash.h
+++ b/core/hash.h
@@ -20,7 +20,7 @@
 uint64_t checksumOf(std::string_view Bytes);
 
 /// Random 64-bit number, never zero, from the system. Thread safe.
-uint64_t drawIdentity();
+uint64_t generateIdentity();
 
 /// Number of this process start: later starts on one host get higher ones.
 /// Thread safe.
--- a/ctl/client.cpp
+++ b/ctl/client.cpp
@@ -85,7 +85,7 @@
   std::vector<wire::Envelope> Inbox;
   Link Peers;
   std::string Problem;
-  uint64_t NextRequest = drawIdentity();
+  uint64_t NextRequest = generateIdentity();
 };
 
 ControlClient::ControlClient(const Settings &Options, Millis Limit)
@@ -128,7 +128,7 @@
 ControlClient::propose(wire::Command Command) {
   // The operation's id makes repeated sending of one command harmless.
   if (Command.operation_id().empty())
-    Command.set_operation_id("ctl-" + std::to_string(drawIdentity()));
+    Command.set_operation_id("ctl-" + std::to_string(generateIdentity()));
   wire::Envelope question;
   question.mutable_proposal()->set_request_id(
       std::to_string(Data->NextRequest++));
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -162,7 +162,7 @@
   state.Self.set_is_voter(!Options.FrontRole.DataFolder.empty());
   state.Self.set_control_address(Options.FrontRole.Control);
   setLimits(Options.FrontRole);
-  state.Random.seed(drawIdentity());
+  state.Random.seed(generateIdentity());
   for (const std::string &it : Options.FrontRole.Seeds)
     Gossip.Seeds.push_back(atPortOf(it, Peers->address()));
   Api = std::make_unique<FleetApi>(
--- a/replication/disk_log.cpp
+++ b/replication/disk_log.cpp
@@ -175,7 +175,7 @@
     fail(IdentityName, "is missing beside a log");
     return std::nullopt;
   }
-  uint64_t identity = drawIdentity();
+  uint64_t identity = generateIdentity();
   char buf[32];
   std::snprintf(buf, sizeof buf, "%016llx\n",
                 static_cast<unsigned long long>(identity));
