--- a/agent/agent_shell.cpp
+++ b/agent/agent_shell.cpp
@@ -280,7 +280,7 @@
 }
 
 bool AgentShell::start(std::string &Problem) {
-  uint64_t incarnation = drawIncarnation();
+  uint64_t incarnation = makeIncarnation();
   Peers = std::make_unique<Link>(
       Io, LinkSelf{Options.Fleet, Options.Node, incarnation, Options.Listen},
       Counts, [this](wire::Envelope Message) {
--- a/control/control_shell.cpp
+++ b/control/control_shell.cpp
@@ -180,7 +180,7 @@
 bool ControlShell::start(std::string &Problem) {
   Peers = std::make_unique<Link>(
       Io,
-      LinkSelf{Options.Fleet, Options.Node, drawIncarnation(), Options.Listen},
+      LinkSelf{Options.Fleet, Options.Node, makeIncarnation(), Options.Listen},
       Counts, [this](wire::Envelope Message) {
         sendEvent<ControlEvent>(Role, ControlReceived{std::move(Message)});
       });
--- a/core/hash.cpp
+++ b/core/hash.cpp
@@ -67,7 +67,7 @@
   return n;
 }
 
-uint64_t drawIncarnation() {
+uint64_t makeIncarnation() {
   auto n = std::chrono::system_clock::now().time_since_epoch();
   return static_cast<uint64_t>(
       std::chrono::duration_cast<std::chrono::microseconds>(n).count());
--- a/core/hash.h
+++ b/core/hash.h
@@ -24,7 +24,7 @@
 
 /// Number of this process start: later starts on one host get higher ones.
 /// Thread safe.
-uint64_t drawIncarnation();
+uint64_t makeIncarnation();
 
 /// Random key of 32 hex digits with a prefix. Thread safe.
 std::string drawKey();
--- a/ctl/client.cpp
+++ b/ctl/client.cpp
@@ -33,7 +33,7 @@
   Impl(const Settings &Options, Millis Limit)
       : Options(Options), Limit(Limit), Targets(groupAddresses(Options)),
         Peers(Io,
-              LinkSelf{Options.Fleet, "ctl", drawIncarnation(), localAddress()},
+              LinkSelf{Options.Fleet, "ctl", makeIncarnation(), localAddress()},
               Counts, [this](wire::Envelope Message) {
                 Inbox.push_back(std::move(Message));
               }) {}
--- a/engine_agent/engine_agent_shell.cpp
+++ b/engine_agent/engine_agent_shell.cpp
@@ -100,7 +100,7 @@
 
 bool EngineAgentShell::start(std::string &Problem) {
   StartedAt = Clock::now();
-  uint64_t incarnation = drawIncarnation();
+  uint64_t incarnation = makeIncarnation();
   Peers = std::make_unique<Link>(
       Io, LinkSelf{Options.Fleet, Options.Node, incarnation, Options.Listen},
       Counts, [this](const wire::Envelope &Message) { takeMessage(Message); });
--- a/entry/entry_shell.cpp
+++ b/entry/entry_shell.cpp
@@ -292,7 +292,7 @@
 }
 
 bool EntryShell::start(std::string &Problem) {
-  Incarnation = drawIncarnation();
+  Incarnation = makeIncarnation();
   Peers = std::make_unique<Link>(
       Io, LinkSelf{Options.Fleet, Options.Node, Incarnation, Options.Listen},
       Counts, [this](wire::Envelope Message) {
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -144,7 +144,7 @@
 
 bool FrontShell::start(std::string &Problem) {
   StartedAt = Clock::now();
-  uint64_t incarnation = drawIncarnation();
+  uint64_t incarnation = makeIncarnation();
   Peers = std::make_unique<Link>(
       Io, LinkSelf{Options.Fleet, Options.Node, incarnation, Options.Listen},
       Counts,
--- a/tests/fakes/fake_endpoint.cpp
+++ b/tests/fakes/fake_endpoint.cpp
@@ -44,7 +44,7 @@
   bool IgnoresFences = false;
   bool IsService = false;
   bool IsLeaving = false;
-  uint64_t Incarnation = drawIncarnation();
+  uint64_t Incarnation = makeIncarnation();
   uint64_t NewestFence = 0;
   std::string Address;
   std::map<std::string, Weights> Loaded;
