--- a/core/hash.cpp
+++ b/core/hash.cpp
@@ -73,7 +73,7 @@
       std::chrono::duration_cast<std::chrono::microseconds>(n).count());
 }
 
-std::string drawKey() {
+std::string generateKey() {
   unsigned char buf[16];
   drawBytes(buf, sizeof buf);
   return "sk-" + toHex(buf, sizeof buf);
--- a/core/hash.h
+++ b/core/hash.h
@@ -27,7 +27,7 @@
 uint64_t makeIncarnation();
 
 /// Random key of 32 hex digits with a prefix. Thread safe.
-std::string drawKey();
+std::string generateKey();
 
 } // namespace sassafras
 
--- a/ctl/commands.cpp
+++ b/ctl/commands.cpp
@@ -198,7 +198,7 @@
 // ---- Keys ----
 
 ToolExit grantKey(Tool &Tool, const std::string &Tenant) {
-  std::string key = drawKey();
+  std::string key = generateKey();
   wire::Command command = makeCommand(Tool);
   wire::KeyGrant &grant = *command.mutable_key_grant();
   grant.set_tenant(Tenant);
