--- a/core/timing.h
+++ b/core/timing.h
@@ -20,7 +20,7 @@
 struct GroupTiming {
   Millis Append = AppendPeriod;
   Millis Lease = LeaderLease;
-  Millis LeastElection = ElectionMin;
+  Millis MinElectionTimeout = ElectionMin;
   Millis MostElection = ElectionMax;
 };
 
--- a/replication/raft.cpp
+++ b/replication/raft.cpp
@@ -39,7 +39,7 @@
 
 TimePoint drawElectionDeadline(RaftState &State, TimePoint Now) {
   std::uniform_int_distribution<int64_t> spread(
-      State.Self.Timing.LeastElection.count(),
+      State.Self.Timing.MinElectionTimeout.count(),
       State.Self.Timing.MostElection.count());
   return Now + Millis(spread(State.Random));
 }
@@ -48,7 +48,7 @@
 /// may have been barred from voting that are not for long: waiting for a whole
 /// election timeout once more would leave the group without a leader.
 TimePoint drawRetryDeadline(RaftState &State, int Part, TimePoint Now) {
-  Millis most = State.Self.Timing.LeastElection / Part;
+  Millis most = State.Self.Timing.MinElectionTimeout / Part;
   std::uniform_int_distribution<int64_t> spread(most.count() / 3, most.count());
   return Now + Millis(spread(State.Random));
 }
@@ -262,7 +262,7 @@
   State.Role = RaftRole::PreCandidate;
   State.Leader = 0;
   State.ElectionDeadline = drawRetryDeadline(State, PreVoteRetryPart, Now);
-  State.PreVoteEnds = Now + State.Self.Timing.LeastElection / PreVotePart;
+  State.PreVoteEnds = Now + State.Self.Timing.MinElectionTimeout / PreVotePart;
   State.Votes = {{State.Self.Identity, true}};
   if (countVotes(State) >= quorum(State)) {
     startElection(State, false, Now, Out);
@@ -404,7 +404,7 @@
     return;
   }
   becomeFollower(State, Request.term(), Request.leader(), Now, Out);
-  State.VoteBarEnd = Now + State.Self.Timing.LeastElection;
+  State.VoteBarEnd = Now + State.Self.Timing.MinElectionTimeout;
   uint64_t previous = Request.previous_index();
   bool isMatching = previous <= State.SnapshotIndex ||
                     (previous <= lastIndex(State) &&
@@ -469,7 +469,7 @@
     State.VotedFor = 0;
   }
   becomeFollower(State, Install.term(), Install.leader(), Now, Out);
-  State.VoteBarEnd = Now + State.Self.Timing.LeastElection;
+  State.VoteBarEnd = Now + State.Self.Timing.MinElectionTimeout;
   State.Entries.clear();
   State.SnapshotIndex = snapshot.index();
   State.SnapshotTerm = snapshot.term();
@@ -699,7 +699,7 @@
   findNewestMembers(state);
   state.ElectionDeadline = drawElectionDeadline(state, Now);
   // It may have heard from a leader just before it stopped.
-  state.VoteBarEnd = Now + state.Self.Timing.LeastElection;
+  state.VoteBarEnd = Now + state.Self.Timing.MinElectionTimeout;
   return state;
 }
 
--- a/tests/replication/test_raft.cpp
+++ b/tests/replication/test_raft.cpp
@@ -247,11 +247,11 @@
 
 TEST_CASE("group that starts over after a loss of power soon has a leader") {
   // Eight voters started within 435 ms; the fifth of them, with whom a quorum
-  // may vote, 202 ms after the first. Each is barred for LeastElection.
+  // may vote, 202 ms after the first. Each is barred for MinElectionTimeout.
   const std::vector<Millis> starts{Millis(0),   Millis(53),  Millis(137),
                                    Millis(184), Millis(202), Millis(384),
                                    Millis(404), Millis(435)};
-  Millis mayVote = Millis(202) + timing::QuickGroup.LeastElection;
+  Millis mayVote = Millis(202) + timing::QuickGroup.MinElectionTimeout;
   size_t late = 0;
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     Millis time = RestartedGroup(starts, seed).timeToLeader();
@@ -272,7 +272,7 @@
       INFO("seed " << seed << " delay " << delay.count());
       Millis time = RestartedGroup({Millis(0), delay, Millis(60'000)}, seed, 2)
                         .timeToLeader();
-      CHECK(time <= delay + timing::QuickGroup.LeastElection +
+      CHECK(time <= delay + timing::QuickGroup.MinElectionTimeout +
                         timing::QuickGroup.MostElection);
     }
   }
