--- a/core/timing.h
+++ b/core/timing.h
@@ -21,7 +21,7 @@
   Millis Append = AppendPeriod;
   Millis Lease = LeaderLease;
   Millis MinElectionTimeout = ElectionMin;
-  Millis MostElection = ElectionMax;
+  Millis MaxElectionTimeout = ElectionMax;
 };
 
 /// Groups whose members are a few milliseconds apart and whose leader is
--- a/replication/group_status.cpp
+++ b/replication/group_status.cpp
@@ -23,7 +23,7 @@
   }
   Clock::duration silence = Now - peer->second.HeardAt;
   out.set_silent_ms(toMillis(silence));
-  out.set_is_heard(silence < State.Self.Timing.MostElection);
+  out.set_is_heard(silence < State.Self.Timing.MaxElectionTimeout);
   out.set_missing(lastIndex(State) -
                   std::min(lastIndex(State), peer->second.MatchIndex));
   return out;
--- a/replication/raft.cpp
+++ b/replication/raft.cpp
@@ -40,7 +40,7 @@
 TimePoint drawElectionDeadline(RaftState &State, TimePoint Now) {
   std::uniform_int_distribution<int64_t> spread(
       State.Self.Timing.MinElectionTimeout.count(),
-      State.Self.Timing.MostElection.count());
+      State.Self.Timing.MaxElectionTimeout.count());
   return Now + Millis(spread(State.Random));
 }
 
@@ -165,7 +165,7 @@
   State.RoundSent.clear();
   State.LeaseEnd = TimePoint();
   // Without a quorum's answers by then it steps down again.
-  State.ElectionDeadline = Now + State.Self.Timing.MostElection;
+  State.ElectionDeadline = Now + State.Self.Timing.MaxElectionTimeout;
   for (const wire::Member &it : State.Members) {
     State.Peers[it.identity()].NextIndex = lastIndex(State) + 1;
     State.Peers[it.identity()].HeardAt = Now;
@@ -214,7 +214,7 @@
     return;
   State.LeaseEnd =
       std::max(State.LeaseEnd, sent->second + State.Self.Timing.Lease);
-  State.ElectionDeadline = sent->second + State.Self.Timing.MostElection;
+  State.ElectionDeadline = sent->second + State.Self.Timing.MaxElectionTimeout;
   State.RoundSent.erase(State.RoundSent.begin(), sent);
 }
 
--- a/tests/replication/test_raft.cpp
+++ b/tests/replication/test_raft.cpp
@@ -257,7 +257,7 @@
     Millis time = RestartedGroup(starts, seed).timeToLeader();
     INFO("seed " << seed << " took " << time.count() << " ms");
     CHECK(time >= mayVote);
-    CHECK(time <= mayVote + timing::QuickGroup.MostElection);
+    CHECK(time <= mayVote + timing::QuickGroup.MaxElectionTimeout);
     late += time > mayVote + Millis(300);
   }
   // A vote that is split now and then may take another round.
@@ -273,7 +273,7 @@
       Millis time = RestartedGroup({Millis(0), delay, Millis(60'000)}, seed, 2)
                         .timeToLeader();
       CHECK(time <= delay + timing::QuickGroup.MinElectionTimeout +
-                        timing::QuickGroup.MostElection);
+                        timing::QuickGroup.MaxElectionTimeout);
     }
   }
 }
