--- a/core/timing.h
+++ b/core/timing.h
@@ -13,14 +13,14 @@
 /// The leader acts only this long after it sent a round that a quorum answered.
 inline constexpr Millis LeaderLease{1200};
 /// A voter that heard from a leader refuses other candidates for this long.
-inline constexpr Millis ElectionMin{1500};
+inline constexpr Millis ElectionTimeoutMin{1500};
 inline constexpr Millis ElectionMax{2200};
 
 /// Periods of one replicated group.
 struct GroupTiming {
   Millis Append = AppendPeriod;
   Millis Lease = LeaderLease;
-  Millis MinElectionTimeout = ElectionMin;
+  Millis MinElectionTimeout = ElectionTimeoutMin;
   Millis MaxElectionTimeout = ElectionMax;
 };
 
--- a/tests/replication/test_raft.cpp
+++ b/tests/replication/test_raft.cpp
@@ -57,7 +57,7 @@
   return isGranted(out);
 }
 
-const TimePoint Free = Start + timing::ElectionMin;
+const TimePoint Free = Start + timing::ElectionTimeoutMin;
 
 /// Voters that start over from their disks one after the other, with links
 /// that take a few milliseconds.
@@ -203,7 +203,7 @@
   append.mutable_append_request()->set_previous_term(1);
   RaftEffects out;
   receiveRaft(state, append, Free, out);
-  TimePoint end = Free + timing::ElectionMin;
+  TimePoint end = Free + timing::ElectionTimeoutMin;
   CHECK_FALSE(grants(state, voteRequest(3, 3), end - Millis(1)));
   wire::Envelope transfer = voteRequest(3, 3);
   transfer.mutable_vote_request()->set_transfer(true);
@@ -240,9 +240,9 @@
   receiveRaft(state, reply, now, out);
   CHECK(hasLease(state, sent + timing::LeaderLease - Millis(1)));
   CHECK_FALSE(hasLease(state, sent + timing::LeaderLease));
-  CHECK(timing::LeaderLease < timing::ElectionMin);
+  CHECK(timing::LeaderLease < timing::ElectionTimeoutMin);
   // A frozen leader that wakes may not propose.
-  CHECK_FALSE(canPropose(state, sent + timing::ElectionMin));
+  CHECK_FALSE(canPropose(state, sent + timing::ElectionTimeoutMin));
 }
 
 TEST_CASE("group that starts over after a loss of power soon has a leader") {
