--- a/core/timing.h
+++ b/core/timing.h
@@ -14,14 +14,14 @@
 inline constexpr Millis LeaderLease{1200};
 /// A voter that heard from a leader refuses other candidates for this long.
 inline constexpr Millis ElectionTimeoutMin{1500};
-inline constexpr Millis ElectionMax{2200};
+inline constexpr Millis ElectionTimeoutMax{2200};
 
 /// Periods of one replicated group.
 struct GroupTiming {
   Millis Append = AppendPeriod;
   Millis Lease = LeaderLease;
   Millis MinElectionTimeout = ElectionTimeoutMin;
-  Millis MaxElectionTimeout = ElectionMax;
+  Millis MaxElectionTimeout = ElectionTimeoutMax;
 };
 
 /// Groups whose members are a few milliseconds apart and whose leader is
