--- a/control/serving_group.cpp
+++ b/control/serving_group.cpp
@@ -75,7 +75,7 @@
     return false;
   }
   RaftSelf self{Options.Node, content->Identity, Peers.address(),
-                timing::QuickGroup};
+                timing::LowLatencyGroup};
   RaftState raft =
       content->IsBlank
           ? makeBlankRaft(self, Options.Seeds, generateIdentity(), now)
--- a/core/timing.h
+++ b/core/timing.h
@@ -27,8 +27,8 @@
 /// Groups whose members are a few milliseconds apart and whose leader is
 /// missed at once: a new one within a second, and still six appends lost in a
 /// row before a vote.
-inline constexpr GroupTiming QuickGroup{Millis(100), Millis(450), Millis(600),
-                                        Millis(900)};
+inline constexpr GroupTiming LowLatencyGroup{Millis(100), Millis(450),
+                                             Millis(600), Millis(900)};
 
 /// Nodes to the control leader.
 inline constexpr Millis HeartbeatPeriod{500};
--- a/tests/control/test_serving_store.cpp
+++ b/tests/control/test_serving_store.cpp
@@ -38,7 +38,7 @@
     Member &it = Members[Name];
     if (it.Disk.IsBlank)
       it.Identity = Random();
-    RaftSelf self{Name, it.Identity, Name, timing::QuickGroup};
+    RaftSelf self{Name, it.Identity, Name, timing::LowLatencyGroup};
     std::vector<wire::LogEntry> entries;
     for (auto &[index, entry] : it.Disk.Entries)
       entries.push_back(entry);
@@ -266,7 +266,7 @@
   REQUIRE(group.write(1, Millis(3'000)));
   std::string old = group.leader();
   group.Cut = {old};
-  group.run(timing::QuickGroup.Lease);
+  group.run(timing::LowLatencyGroup.Lease);
   CHECK(group.read(old).Outcome != StoreOutcome::Done);
   group.run(Millis(2'500));
   REQUIRE(group.leader() != old);
--- a/tests/replication/test_raft.cpp
+++ b/tests/replication/test_raft.cpp
@@ -112,7 +112,7 @@
       if (!Members.contains(it.name()) && Now >= StartTimes[it.name()])
         Members.emplace(it.name(),
                         restoreRaft({it.name(), it.identity(), it.address(),
-                                     timing::QuickGroup},
+                                     timing::LowLatencyGroup},
                                     {}, Snapshot, {}, entriesOf(it.identity()),
                                     Seed * 100 + it.identity(), Now));
   }
@@ -251,13 +251,13 @@
   const std::vector<Millis> starts{Millis(0),   Millis(53),  Millis(137),
                                    Millis(184), Millis(202), Millis(384),
                                    Millis(404), Millis(435)};
-  Millis mayVote = Millis(202) + timing::QuickGroup.MinElectionTimeout;
+  Millis mayVote = Millis(202) + timing::LowLatencyGroup.MinElectionTimeout;
   size_t late = 0;
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     Millis time = RestartedGroup(starts, seed).timeToLeader();
     INFO("seed " << seed << " took " << time.count() << " ms");
     CHECK(time >= mayVote);
-    CHECK(time <= mayVote + timing::QuickGroup.MaxElectionTimeout);
+    CHECK(time <= mayVote + timing::LowLatencyGroup.MaxElectionTimeout);
     late += time > mayVote + Millis(300);
   }
   // A vote that is split now and then may take another round.
@@ -272,8 +272,8 @@
       INFO("seed " << seed << " delay " << delay.count());
       Millis time = RestartedGroup({Millis(0), delay, Millis(60'000)}, seed, 2)
                         .timeToLeader();
-      CHECK(time <= delay + timing::QuickGroup.MinElectionTimeout +
-                        timing::QuickGroup.MaxElectionTimeout);
+      CHECK(time <= delay + timing::LowLatencyGroup.MinElectionTimeout +
+                        timing::LowLatencyGroup.MaxElectionTimeout);
     }
   }
 }
