--- a/core/timing.h
+++ b/core/timing.h
@@ -35,7 +35,7 @@
 /// A key view counts this long from the sending of the answered heartbeat.
 inline constexpr Millis ViewLease{3000};
 /// A running answer for a keyed caller outlasts the view's lease by this.
-inline constexpr Millis AnswerGrace{1500};
+inline constexpr Millis ResponseGrace{1500};
 /// An endpoint takes work this long after its last known sign of life.
 inline constexpr Millis EndpointLease{2000};
 /// The control leader writes an endpoint off after this silence.
--- a/entry/answering.cpp
+++ b/entry/answering.cpp
@@ -296,7 +296,7 @@
   if (Request.Tenant.empty())
     return false;
   if (!isConfirmed(State.View, Now))
-    return isPast(State.View.LeaseEnd + timing::AnswerGrace, Now);
+    return isPast(State.View.LeaseEnd + timing::ResponseGrace, Now);
   return !isKeyValid(State, Request);
 }
 
