--- a/control/observation.cpp
+++ b/control/observation.cpp
@@ -137,7 +137,7 @@
   // Incarnations of one name rise; a late message of an earlier process must
   // not take the place of the present one.
   bool isEarlier = Message.incarnation() < info.Incarnation &&
-                   Now - info.LastHeard < timing::EndpointWriteOff;
+                   Now - info.LastHeard < timing::EndpointRemovalTimeout;
   if (isEarlier)
     return;
   if (!isSameProcess) {
@@ -169,7 +169,7 @@
     if (node != State.Nodes.end())
       heard = std::max(heard, node->second.EndpointKnownAt);
     auto silence = Now - heard;
-    if (silence >= timing::EndpointWriteOff) {
+    if (silence >= timing::EndpointRemovalTimeout) {
       proposeEndpoint(State, *it, true, Now, Raft);
     } else if (silence >= timing::EndpointLease && it->ready()) {
       wire::Endpoint silent = *it;
--- a/core/timing.h
+++ b/core/timing.h
@@ -39,7 +39,7 @@
 /// An endpoint takes work this long after its last known sign of life.
 inline constexpr Millis EndpointLease{2000};
 /// The control leader writes an endpoint off after this silence.
-inline constexpr Millis EndpointWriteOff{8000};
+inline constexpr Millis EndpointRemovalTimeout{8000};
 
 /// Life of a grant of tokens at the entry, from the sending of its request.
 inline constexpr Millis GrantLife{2000};
