--- a/core/timing.h
+++ b/core/timing.h
@@ -42,7 +42,7 @@
 inline constexpr Millis EndpointRemovalTimeout{8000};
 
 /// Life of a grant of tokens at the entry, from the sending of its request.
-inline constexpr Millis GrantLife{2000};
+inline constexpr Millis GrantLifetime{2000};
 /// The giver counts a grant as outstanding for this long.
 inline constexpr Millis GrantLifeAtGiver{2300};
 inline constexpr Millis GrantRetry{200};
--- a/policy/held_grants.cpp
+++ b/policy/held_grants.cpp
@@ -99,7 +99,7 @@
   for (const wire::TenantGrant &it : request.wanted())
     sent.Wanted.push_back(it.tenant());
   std::erase_if(Held.Sent, [&](const auto &it) {
-    return Now - it.second.At > timing::GrantLife;
+    return Now - it.second.At > timing::GrantLifetime;
   });
   Held.Wishes.clear();
   Held.Returns.clear();
@@ -113,7 +113,7 @@
     return;
   Held.Short.insert(sent->second.Wanted.begin(), sent->second.Wanted.end());
   // The life counts from the sending, which was before the giving.
-  TimePoint expires = sent->second.At + timing::GrantLife;
+  TimePoint expires = sent->second.At + timing::GrantLifetime;
   for (const wire::Grant &it : Reply.grants()) {
     Held.Grants[it.tenant()].push_back({it.id(), it.tokens(), expires});
     Held.Short.erase(it.tenant());
