--- a/core/timing.h
+++ b/core/timing.h
@@ -44,7 +44,7 @@
 /// Life of a grant of tokens at the entry, from the sending of its request.
 inline constexpr Millis GrantLifetime{2000};
 /// The giver counts a grant as outstanding for this long.
-inline constexpr Millis GrantLifeAtGiver{2300};
+inline constexpr Millis GrantLifetimeAtIssuer{2300};
 inline constexpr Millis GrantRetry{200};
 
 /// A proposal or claim is sent again after this silence.
--- a/policy/held_grants.cpp
+++ b/policy/held_grants.cpp
@@ -15,7 +15,7 @@
 constexpr uint64_t PrefetchFactor = 2;
 /// The bucket was charged at most this long before the entry spent, and the
 /// refund reaches it at most this long after it was noted.
-constexpr Millis RefundMargin = timing::GrantLifeAtGiver + Millis(1000);
+constexpr Millis RefundMargin = timing::GrantLifetimeAtIssuer + Millis(1000);
 
 } // namespace
 
--- a/policy/token_bank.cpp
+++ b/policy/token_bank.cpp
@@ -64,7 +64,7 @@
 
 void openBank(TokenBank &Bank, TimePoint Now) {
   Bank.Buckets.clear();
-  Bank.OpensAt = Now + timing::GrantLifeAtGiver;
+  Bank.OpensAt = Now + timing::GrantLifetimeAtIssuer;
 }
 
 std::optional<TokenGrant> takeGrant(TokenBank &Bank, const std::string &Tenant,
@@ -87,7 +87,7 @@
     reserve = {};
   TokenGrant grant{Bank.NextGrant++, tokens};
   bucket.Level -= static_cast<double>(tokens);
-  bucket.Outstanding[grant.Id] = {tokens, Now + timing::GrantLifeAtGiver};
+  bucket.Outstanding[grant.Id] = {tokens, Now + timing::GrantLifetimeAtIssuer};
   bucket.OutstandingTokens += tokens;
   return grant;
 }
--- a/tests/policy/test_token_bank.cpp
+++ b/tests/policy/test_token_bank.cpp
@@ -18,7 +18,7 @@
 
 TokenBank openAt(TimePoint Now) {
   TokenBank bank;
-  openBank(bank, Now - timing::GrantLifeAtGiver);
+  openBank(bank, Now - timing::GrantLifetimeAtIssuer);
   return bank;
 }
 
@@ -57,7 +57,7 @@
   TokenBank bank;
   openBank(bank, Start);
   CHECK(take(bank, 100, Start) == 0);
-  TimePoint opens = Start + timing::GrantLifeAtGiver;
+  TimePoint opens = Start + timing::GrantLifetimeAtIssuer;
   CHECK(take(bank, 100, opens) == 0);
   CHECK(take(bank, 100, opens + Millis(500)) == 50);
 }
@@ -111,7 +111,7 @@
   // Ten seconds later the bucket has been full again: nothing is owed.
   TimePoint later = now + std::chrono::seconds(10);
   REQUIRE(take(bank, 400, later) == 400);
-  later += timing::GrantLifeAtGiver + Millis(100);
+  later += timing::GrantLifetimeAtIssuer + Millis(100);
   refundCharge(bank, "alpha", 400, now, Rate, later);
   CHECK(take(bank, 1000, later) == 10);
 }
