--- a/core/reason.cpp
+++ b/core/reason.cpp
@@ -15,7 +15,7 @@
     {RefusalReason::KeyMissing, "key_missing", 401, false},
     {RefusalReason::KeyUnknown, "key_unknown", 401, false},
     {RefusalReason::KeyUnconfirmed, "key_unconfirmed", 503, true},
-    {RefusalReason::TenantNotAllowed, "tenant_not_allowed", 403, false},
+    {RefusalReason::OrganisationNotAllowed, "tenant_not_allowed", 403, false},
     {RefusalReason::RouteUnknown, "route_unknown", 404, false},
     {RefusalReason::BadRequest, "bad_request", 400, false},
     {RefusalReason::QueueFull, "queue_full", 429, true},
--- a/core/reason.h
+++ b/core/reason.h
@@ -13,7 +13,7 @@
   KeyMissing,
   KeyUnknown,
   KeyUnconfirmed,
-  TenantNotAllowed,
+  OrganisationNotAllowed,
   RouteUnknown,
   BadRequest,
   QueueFull,
@@ -37,7 +37,7 @@
 /// All reasons, in the order of their declaration.
 inline constexpr RefusalReason AllRefusalReasons[] = {
     RefusalReason::KeyMissing,       RefusalReason::KeyUnknown,
-    RefusalReason::KeyUnconfirmed,   RefusalReason::TenantNotAllowed,
+    RefusalReason::KeyUnconfirmed,   RefusalReason::OrganisationNotAllowed,
     RefusalReason::RouteUnknown,     RefusalReason::BadRequest,
     RefusalReason::QueueFull,        RefusalReason::DeadlineUnreachable,
     RefusalReason::RateExceeded,     RefusalReason::CostAboveBurst,
--- a/entry/admission.cpp
+++ b/entry/admission.cpp
@@ -64,7 +64,7 @@
     return refusal(RefusalReason::KeyUnknown);
   Tenant = it->second;
   if (!allowsTenant(Row, Tenant))
-    return refusal(RefusalReason::TenantNotAllowed);
+    return refusal(RefusalReason::OrganisationNotAllowed);
   return std::nullopt;
 }
 
