--- a/ctl/client.cpp
+++ b/ctl/client.cpp
@@ -23,7 +23,7 @@
                                               ? Options.FrontRole.Seeds
                                               : Options.EngineAgentRole.Seeds;
   for (const std::string &it : seeds)
-    out.push_back(atPortOf(it, Options.Listen));
+    out.push_back(replacePort(it, Options.Listen));
   return out;
 }
 
--- a/engine_agent/engine_agent_shell.cpp
+++ b/engine_agent/engine_agent_shell.cpp
@@ -112,7 +112,7 @@
   Self.set_kind(wire::NODE_ENGINE_AGENT);
   Self.set_zone(Options.Zone);
   for (const std::string &it : Options.EngineAgentRole.Seeds)
-    Seeds.push_back(atPortOf(it, Peers->address()));
+    Seeds.push_back(replacePort(it, Peers->address()));
   beat();
   poll();
   return true;
@@ -402,7 +402,7 @@
 void EngineAgentShell::reload(const Settings &NewSettings) {
   Seeds.clear();
   for (const std::string &it : NewSettings.EngineAgentRole.Seeds)
-    Seeds.push_back(atPortOf(it, Peers->address()));
+    Seeds.push_back(replacePort(it, Peers->address()));
 }
 
 } // namespace
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -164,7 +164,7 @@
   setLimits(Options.FrontRole);
   state.Random.seed(generateIdentity());
   for (const std::string &it : Options.FrontRole.Seeds)
-    Gossip.Seeds.push_back(atPortOf(it, Peers->address()));
+    Gossip.Seeds.push_back(replacePort(it, Peers->address()));
   Api = std::make_unique<FleetApi>(
       FleetApi::Dependencies{Core, Gossip, [this] { return isReady(); },
                              [this] { return Group.get(); },
@@ -542,7 +542,7 @@
 
 std::string FrontShell::leaderControlAddress() const {
   if (!View.LeaderAddress.empty() && !View.IsLeader)
-    return atPortOf(View.LeaderAddress, Options.FrontRole.Control);
+    return replacePort(View.LeaderAddress, Options.FrontRole.Control);
   bool isCurrent = Clock::now() - Core.State.Leader.HeardAt < NodeSilence;
   return isCurrent && !View.IsLeader ? Core.State.Leader.ControlAddress
                                      : std::string();
@@ -721,7 +721,7 @@
 void FrontShell::reload(const Settings &NewSettings) {
   Gossip.Seeds.clear();
   for (const std::string &it : NewSettings.FrontRole.Seeds)
-    Gossip.Seeds.push_back(atPortOf(it, Peers->address()));
+    Gossip.Seeds.push_back(replacePort(it, Peers->address()));
   setLimits(NewSettings.FrontRole);
 }
 
--- a/http/address.cpp
+++ b/http/address.cpp
@@ -24,7 +24,7 @@
   return address;
 }
 
-std::string atPortOf(std::string_view Host, std::string_view Own) {
+std::string replacePort(std::string_view Host, std::string_view Own) {
   auto host = parseAddress(Host);
   auto own = parseAddress(Own);
   if (!host || !own)
--- a/http/address.h
+++ b/http/address.h
@@ -20,7 +20,7 @@
 
 /// Address of the host in \p Host at the port of \p Own; empty when either is
 /// not an address. Nodes listen at the same ports on all hosts. Thread safe.
-std::string atPortOf(std::string_view Host, std::string_view Own);
+std::string replacePort(std::string_view Host, std::string_view Own);
 
 } // namespace sassafras
 
