--- a/front/relay.h
+++ b/front/relay.h
@@ -40,7 +40,7 @@
   void takeHead(HttpHead Head);
   void takeBody(std::string_view Bytes);
   void takeEnd();
-  void takeBreak(HttpBreak Break);
+  void takeBreak(HttpFailure Break);
   bool isTrusted(const HttpHead &Head) const;
   void writeEvents(std::string Events);
   /// Records the time of a stage in the histogram of the request's kind.
--- a/http/client.cpp
+++ b/http/client.cpp
@@ -296,7 +296,7 @@
       Link->Stream.close();
   }
 
-  void fail(HttpBreak Break) {
+  void fail(HttpFailure Break) {
     if (IsOver)
       return;
     IsOver = true;
--- a/http/client.h
+++ b/http/client.h
@@ -19,7 +19,7 @@
 class Metrics;
 
 /// How far an exchange came before it broke.
-struct HttpBreak {
+struct HttpFailure {
   bool WasSent = true;    ///< The other side may have seen the request.
   bool IsRefused = false; ///< Nobody listens at the port.
   bool IsTimeout = false; ///< A wait ended without a sign of the other side.
@@ -36,7 +36,7 @@
   std::function<void(HttpHead)> OnHead;
   std::function<void(std::string_view)> OnBody;
   std::function<void()> OnEnd;
-  std::function<void(HttpBreak)> OnBreak;
+  std::function<void(HttpFailure)> OnBreak;
 };
 
 /// Handle of a running exchange.
--- a/tests/fakes/fake_endpoint.cpp
+++ b/tests/fakes/fake_endpoint.cpp
@@ -76,7 +76,7 @@
 
 HttpCalls ignoreAnswer() {
   return {[](const HttpHead &) {}, [](std::string_view) {}, [] {},
-          [](HttpBreak) {}};
+          [](HttpFailure) {}};
 }
 
 void announce(Fake &Fake) {
@@ -154,7 +154,7 @@
   calls.OnEnd = [&Fake, name, Exchange] {
     finishLoad(Fake, name, Exchange, true);
   };
-  calls.OnBreak = [&Fake, name, Exchange](HttpBreak) {
+  calls.OnBreak = [&Fake, name, Exchange](HttpFailure) {
     finishLoad(Fake, name, Exchange, false);
   };
   startHttpCall(Fake.Io, Fake.Store, {"GET", "/weights/" + name, {}, {}},
