--- a/agent/agent_shell.cpp
+++ b/agent/agent_shell.cpp
@@ -134,7 +134,7 @@
     Calls.erase(key);
     post(EndpointEnd{key});
   };
-  calls.OnBreak = [this, key](HttpFailure Break) {
+  calls.OnFailure = [this, key](HttpFailure Break) {
     Calls.erase(key);
     post(EndpointBroken{key, Break.WasSent});
   };
@@ -168,7 +168,7 @@
     post(OrderDone{Order.Row, Order.Fence, isGood, isOver});
   };
   calls.OnEnd = [finish] { finish(true); };
-  calls.OnBreak = [finish](HttpFailure) { finish(false); };
+  calls.OnFailure = [finish](HttpFailure) { finish(false); };
   startHttpCall(Io, EndpointAddress, request, OrderLimit, std::move(calls));
 }
 
@@ -195,8 +195,8 @@
   calls.OnHead = [](const HttpHead &) {};
   calls.OnBody = [](std::string_view) {};
   calls.OnEnd = [self = shared_from_this()] { self->IsProbing = false; };
-  calls.OnBreak = [self = shared_from_this(), MoreTries,
-                   announced = LastAnnounce](HttpFailure Break) {
+  calls.OnFailure = [self = shared_from_this(), MoreTries,
+                     announced = LastAnnounce](HttpFailure Break) {
     self->IsProbing = false;
     // An announcement meanwhile may be of a new process at this address.
     if (Break.IsRefused && self->LastAnnounce == announced) {
--- a/engine_agent/engine_agent_shell.cpp
+++ b/engine_agent/engine_agent_shell.cpp
@@ -189,7 +189,7 @@
     else
       self->loseEngine("status " + std::to_string(*status));
   };
-  calls.OnBreak = [self = shared_from_this()](HttpFailure Break) {
+  calls.OnFailure = [self = shared_from_this()](HttpFailure Break) {
     self->IsPolling = false;
     self->loseEngine(Break.IsRefused ? "refused" : "no answer");
   };
@@ -278,7 +278,7 @@
   calls.OnHead = [status](const HttpHead &Head) { *status = Head.Status; };
   calls.OnBody = [](std::string_view) {};
   calls.OnEnd = [finish] { finish(true); };
-  calls.OnBreak = [finish](HttpFailure) { finish(false); };
+  calls.OnFailure = [finish](HttpFailure) { finish(false); };
   Client.start(Options.EngineAgentRole.Engine, platform::printCommand(command),
                {EngineSilence, EngineSilence, EngineSilence * 4},
                std::move(calls));
--- a/front/relay.cpp
+++ b/front/relay.cpp
@@ -147,7 +147,7 @@
   calls.OnHead = [self](HttpHead Head) { self->takeHead(std::move(Head)); };
   calls.OnBody = [self](std::string_view Bytes) { self->takeBody(Bytes); };
   calls.OnEnd = [self] { self->takeEnd(); };
-  calls.OnBreak = [self](HttpFailure Break) { self->takeBreak(Break); };
+  calls.OnFailure = [self](HttpFailure Break) { self->takeBreak(Break); };
   HttpCallOptions options{std::min(ConnectLimit, left), left + ConnectLimit,
                           Request.IsRepeatable ? MostIdle : MostIdleOnce};
   Call = Core.Client.start(Target.Address, message, options, std::move(calls));
--- a/http/client.cpp
+++ b/http/client.cpp
@@ -301,7 +301,7 @@
       return;
     IsOver = true;
     close();
-    Calls.OnBreak(Break);
+    Calls.OnFailure(Break);
   }
 
   std::shared_ptr<HttpClient::Impl> Client;
--- a/http/client.h
+++ b/http/client.h
@@ -36,7 +36,7 @@
   std::function<void(HttpHead)> OnHead;
   std::function<void(std::string_view)> OnBody;
   std::function<void()> OnEnd;
-  std::function<void(HttpFailure)> OnBreak;
+  std::function<void(HttpFailure)> OnFailure;
 };
 
 /// Handle of a running exchange.
@@ -65,7 +65,7 @@
   HttpClient(const HttpClient &) = delete;
   HttpClient &operator=(const HttpClient &) = delete;
 
-  /// Sends \p Request to \p Address. Exactly one of OnEnd and OnBreak is
+  /// Sends \p Request to \p Address. Exactly one of OnEnd and OnFailure is
   /// called in the end, unless it is cancelled; never before this returns.
   std::shared_ptr<HttpCall> start(const std::string &Address,
                                   const HttpRequest &Request,
--- a/tests/fakes/fake_endpoint.cpp
+++ b/tests/fakes/fake_endpoint.cpp
@@ -154,7 +154,7 @@
   calls.OnEnd = [&Fake, name, Exchange] {
     finishLoad(Fake, name, Exchange, true);
   };
-  calls.OnBreak = [&Fake, name, Exchange](HttpFailure) {
+  calls.OnFailure = [&Fake, name, Exchange](HttpFailure) {
     finishLoad(Fake, name, Exchange, false);
   };
   startHttpCall(Fake.Io, Fake.Store, {"GET", "/weights/" + name, {}, {}},
