--- a/agent/agent_shell.cpp
+++ b/agent/agent_shell.cpp
@@ -115,7 +115,7 @@
   for (const wire::Header &it : Start.Request.headers())
     request.Fields.push_back({it.name(), it.value()});
   HttpCalls calls;
-  calls.OnHead = [this, key](const HttpHead &Head) {
+  calls.OnHead = [this, key](const HttpResponseHead &Head) {
     EndpointHead head{key, Head.Status, {}};
     for (const HttpField &it : Head.Fields) {
       if (isHopField(it.Name))
@@ -154,7 +154,7 @@
   Counts.count("orders_total", isLoad ? "kind=\"load\"" : "kind=\"unload\"");
   auto isDone = std::make_shared<bool>(false);
   HttpCalls calls;
-  calls.OnHead = [isDone](const HttpHead &Head) {
+  calls.OnHead = [isDone](const HttpResponseHead &Head) {
     *isDone = Head.Status == StatusOk;
   };
   calls.OnBody = [](std::string_view) {};
@@ -192,7 +192,7 @@
     return;
   IsProbing = true;
   HttpCalls calls;
-  calls.OnHead = [](const HttpHead &) {};
+  calls.OnHead = [](const HttpResponseHead &) {};
   calls.OnBody = [](std::string_view) {};
   calls.OnEnd = [self = shared_from_this()] { self->IsProbing = false; };
   calls.OnFailure = [self = shared_from_this(), MoreTries,
--- a/engine_agent/engine_agent_shell.cpp
+++ b/engine_agent/engine_agent_shell.cpp
@@ -180,7 +180,9 @@
   auto text = std::make_shared<std::string>();
   auto status = std::make_shared<unsigned>(0);
   HttpCalls calls;
-  calls.OnHead = [status](const HttpHead &Head) { *status = Head.Status; };
+  calls.OnHead = [status](const HttpResponseHead &Head) {
+    *status = Head.Status;
+  };
   calls.OnBody = [text](std::string_view Bytes) { *text += Bytes; };
   calls.OnEnd = [self = shared_from_this(), text, status] {
     self->IsPolling = false;
@@ -275,7 +277,9 @@
     self->poll();
   };
   HttpCalls calls;
-  calls.OnHead = [status](const HttpHead &Head) { *status = Head.Status; };
+  calls.OnHead = [status](const HttpResponseHead &Head) {
+    *status = Head.Status;
+  };
   calls.OnBody = [](std::string_view) {};
   calls.OnEnd = [finish] { finish(true); };
   calls.OnFailure = [finish](HttpFailure) { finish(false); };
--- a/front/relay.cpp
+++ b/front/relay.cpp
@@ -144,7 +144,9 @@
   platform::putEndpointFields(message, fields);
   HttpCalls calls;
   auto self = shared_from_this();
-  calls.OnHead = [self](HttpHead Head) { self->takeHead(std::move(Head)); };
+  calls.OnHead = [self](HttpResponseHead Head) {
+    self->takeHead(std::move(Head));
+  };
   calls.OnBody = [self](std::string_view Bytes) { self->takeBody(Bytes); };
   calls.OnEnd = [self] { self->takeEnd(); };
   calls.OnFailure = [self](HttpFailure Break) { self->takeBreak(Break); };
@@ -155,14 +157,14 @@
 
 /// An answer to another request, or bytes that no endpoint vouches for, must
 /// not reach the caller.
-bool Relay::isTrusted(const HttpHead &Head) const {
+bool Relay::isTrusted(const HttpResponseHead &Head) const {
   auto fields = platform::readAnswerFields(Head.Status, Head.Fields);
   if (fields.RequestId != Request.Facts.Id)
     return fields.RequestId.empty() && !isSuccess(Head.Status);
   return fields.IsSealed || !isSuccess(Head.Status);
 }
 
-void Relay::takeHead(HttpHead NewHead) {
+void Relay::takeHead(HttpResponseHead NewHead) {
   if (IsOver)
     return;
   TimePoint now = Clock::now();
--- a/front/relay.h
+++ b/front/relay.h
@@ -37,11 +37,11 @@
   void act(const DispatchResult &Result);
   void send(const SendTo &Chosen);
   void setWaiting(bool IsWaiting);
-  void takeHead(HttpHead Head);
+  void takeHead(HttpResponseHead Head);
   void takeBody(std::string_view Bytes);
   void takeEnd();
   void takeBreak(HttpFailure Break);
-  bool isTrusted(const HttpHead &Head) const;
+  bool isTrusted(const HttpResponseHead &Head) const;
   void writeEvents(std::string Events);
   /// Records the time of a stage in the histogram of the request's kind.
   void observe(const char *Stage, Clock::duration Span);
@@ -62,7 +62,7 @@
   std::string Endpoint;             ///< Of the exchange under way.
   SendTo Target;                    ///< With what decided for it.
   std::optional<Millis> RetryAfter; ///< Told with a refusal.
-  HttpHead Head;                    ///< Of the newest answer.
+  HttpResponseHead Head;            ///< Of the newest answer.
   std::string Body;                 ///< Held back until it is whole.
   EventCutter Cutter;
   TimePoint SentAt;
--- a/http/client.cpp
+++ b/http/client.cpp
@@ -219,7 +219,7 @@
       fail({true, false, false});
       return;
     }
-    HttpHead head;
+    HttpResponseHead head;
     head.Status = message.result_int();
     for (const auto &it : message.base())
       head.Fields.push_back(
--- a/http/client.h
+++ b/http/client.h
@@ -26,14 +26,14 @@
 };
 
 /// Head of an answer.
-struct HttpHead {
+struct HttpResponseHead {
   unsigned Status = 0;
   std::vector<HttpField> Fields;  ///< Names are lower case.
   std::optional<uint64_t> Length; ///< Bytes of the body, where declared.
 };
 
 struct HttpCalls {
-  std::function<void(HttpHead)> OnHead;
+  std::function<void(HttpResponseHead)> OnHead;
   std::function<void(std::string_view)> OnBody;
   std::function<void()> OnEnd;
   std::function<void(HttpFailure)> OnFailure;
--- a/tests/fakes/fake_endpoint.cpp
+++ b/tests/fakes/fake_endpoint.cpp
@@ -75,7 +75,7 @@
 }
 
 HttpCalls ignoreAnswer() {
-  return {[](const HttpHead &) {}, [](std::string_view) {}, [] {},
+  return {[](const HttpResponseHead &) {}, [](std::string_view) {}, [] {},
           [](HttpFailure) {}};
 }
 
