--- a/agent/agent_shell.cpp
+++ b/agent/agent_shell.cpp
@@ -114,7 +114,7 @@
       Start.Request.method(), Start.Request.target(), {}, Start.Request.body()};
   for (const wire::Header &it : Start.Request.headers())
     request.Fields.push_back({it.name(), it.value()});
-  HttpCalls calls;
+  HttpCallbacks calls;
   calls.OnHead = [this, key](const HttpResponseHead &Head) {
     EndpointHead head{key, Head.Status, {}};
     for (const HttpField &it : Head.Fields) {
@@ -153,7 +153,7 @@
            {{"row", Order.Row}, {"fence", std::to_string(Order.Fence)}});
   Counts.count("orders_total", isLoad ? "kind=\"load\"" : "kind=\"unload\"");
   auto isDone = std::make_shared<bool>(false);
-  HttpCalls calls;
+  HttpCallbacks calls;
   calls.OnHead = [isDone](const HttpResponseHead &Head) {
     *isDone = Head.Status == StatusOk;
   };
@@ -191,7 +191,7 @@
   if (IsProbing || EndpointAddress.empty())
     return;
   IsProbing = true;
-  HttpCalls calls;
+  HttpCallbacks calls;
   calls.OnHead = [](const HttpResponseHead &) {};
   calls.OnBody = [](std::string_view) {};
   calls.OnEnd = [self = shared_from_this()] { self->IsProbing = false; };
--- a/engine_agent/engine_agent_shell.cpp
+++ b/engine_agent/engine_agent_shell.cpp
@@ -179,7 +179,7 @@
   IsPolling = true;
   auto text = std::make_shared<std::string>();
   auto status = std::make_shared<unsigned>(0);
-  HttpCalls calls;
+  HttpCallbacks calls;
   calls.OnHead = [status](const HttpResponseHead &Head) {
     *status = Head.Status;
   };
@@ -276,7 +276,7 @@
     // Whatever came of it shows in the engine's state.
     self->poll();
   };
-  HttpCalls calls;
+  HttpCallbacks calls;
   calls.OnHead = [status](const HttpResponseHead &Head) {
     *status = Head.Status;
   };
--- a/front/relay.cpp
+++ b/front/relay.cpp
@@ -142,7 +142,7 @@
                                   Request.Urgency, Request.LastEvent};
   HttpRequest message = Message;
   platform::putEndpointFields(message, fields);
-  HttpCalls calls;
+  HttpCallbacks calls;
   auto self = shared_from_this();
   calls.OnHead = [self](HttpResponseHead Head) {
     self->takeHead(std::move(Head));
--- a/http/client.cpp
+++ b/http/client.cpp
@@ -112,7 +112,7 @@
 class Call : public HttpCall, public std::enable_shared_from_this<Call> {
 public:
   Call(std::shared_ptr<HttpClient::Impl> Client, HttpCallOptions Options,
-       HttpCalls Calls)
+       HttpCallbacks Calls)
       : Client(std::move(Client)), Options(Options), Calls(std::move(Calls)) {
     Parser.body_limit(std::numeric_limits<uint64_t>::max());
     Parser.header_limit(HeadLimit);
@@ -306,7 +306,7 @@
 
   std::shared_ptr<HttpClient::Impl> Client;
   HttpCallOptions Options;
-  HttpCalls Calls;
+  HttpCallbacks Calls;
   ConnectionPtr Link;
   http::request<http::string_body> Message;
   http::response_parser<http::buffer_body> Parser;
@@ -328,7 +328,7 @@
 std::shared_ptr<HttpCall> HttpClient::start(const std::string &Address,
                                             const HttpRequest &Request,
                                             HttpCallOptions Options,
-                                            HttpCalls Calls) {
+                                            HttpCallbacks Calls) {
   auto call = std::make_shared<Call>(Data, Options, std::move(Calls));
   call->start(Address, Request);
   return call;
@@ -347,7 +347,7 @@
 std::shared_ptr<HttpCall> startHttpCall(asio::io_context &Io,
                                         const std::string &Address,
                                         const HttpRequest &Request,
-                                        Millis Silence, HttpCalls Calls) {
+                                        Millis Silence, HttpCallbacks Calls) {
   auto client = std::make_shared<HttpClient::Impl>(Io, nullptr);
   client->KeepsConnections = false;
   auto call = std::make_shared<Call>(
--- a/http/client.h
+++ b/http/client.h
@@ -32,7 +32,7 @@
   std::optional<uint64_t> Length; ///< Bytes of the body, where declared.
 };
 
-struct HttpCalls {
+struct HttpCallbacks {
   std::function<void(HttpResponseHead)> OnHead;
   std::function<void(std::string_view)> OnBody;
   std::function<void()> OnEnd;
@@ -69,7 +69,7 @@
   /// called in the end, unless it is cancelled; never before this returns.
   std::shared_ptr<HttpCall> start(const std::string &Address,
                                   const HttpRequest &Request,
-                                  HttpCallOptions Options, HttpCalls Calls);
+                                  HttpCallOptions Options, HttpCallbacks Calls);
   /// Closes kept connections whose time or peer has ended.
   void sweep();
 
@@ -84,7 +84,7 @@
 std::shared_ptr<HttpCall> startHttpCall(boost::asio::io_context &Io,
                                         const std::string &Address,
                                         const HttpRequest &Request,
-                                        Millis Silence, HttpCalls Calls);
+                                        Millis Silence, HttpCallbacks Calls);
 
 } // namespace sassafras
 
--- a/tests/fakes/fake_endpoint.cpp
+++ b/tests/fakes/fake_endpoint.cpp
@@ -74,7 +74,7 @@
   return names;
 }
 
-HttpCalls ignoreAnswer() {
+HttpCallbacks ignoreAnswer() {
   return {[](const HttpResponseHead &) {}, [](std::string_view) {}, [] {},
           [](HttpFailure) {}};
 }
@@ -150,7 +150,7 @@
           [&Fake, name, Exchange] { finishLoad(Fake, name, Exchange, true); });
     return;
   }
-  HttpCalls calls = ignoreAnswer();
+  HttpCallbacks calls = ignoreAnswer();
   calls.OnEnd = [&Fake, name, Exchange] {
     finishLoad(Fake, name, Exchange, true);
   };
