--- a/engine_agent/engine_agent_shell.cpp
+++ b/engine_agent/engine_agent_shell.cpp
@@ -223,7 +223,7 @@
   tell(now);
   if (isPast(NextSweep, now)) {
     NextSweep = now + SweepPeriod;
-    Client.sweep();
+    Client.closeExpired();
   }
   bool isActive = State.Goal || !State.Adapters.empty() ||
                   State.Reading.is_busy() || State.Reading.incoming_size() > 0;
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -571,7 +571,7 @@
     runLeaderTasks(now);
   if (isPast(NextSweep, now)) {
     NextSweep = now + SweepPeriod;
-    Core.Client.sweep();
+    Core.Client.closeExpired();
     logNodeChanges(now);
     expireNodes(Core.State.Roster, now);
     expireEndpoints(Core.State.Directory, now);
--- a/http/client.cpp
+++ b/http/client.cpp
@@ -334,7 +334,7 @@
   return call;
 }
 
-void HttpClient::sweep() {
+void HttpClient::closeExpired() {
   TimePoint now = Clock::now();
   for (auto it = Data->Idle.begin(); it != Data->Idle.end();) {
     std::erase_if(it->second, [&](const ConnectionPtr &Kept) {
--- a/http/client.h
+++ b/http/client.h
@@ -71,7 +71,7 @@
                                   const HttpRequest &Request,
                                   HttpCallOptions Options, HttpCallbacks Calls);
   /// Closes kept connections whose time or peer has ended.
-  void sweep();
+  void closeExpired();
 
   struct Impl;
 
