--- a/agent/agent_shell.cpp
+++ b/agent/agent_shell.cpp
@@ -118,7 +118,7 @@
   calls.OnHead = [this, key](const HttpResponseHead &Head) {
     EndpointHead head{key, Head.Status, {}};
     for (const HttpField &it : Head.Fields) {
-      if (isHopField(it.Name))
+      if (isHopByHopField(it.Name))
         continue;
       wire::Header header;
       header.set_name(it.Name);
--- a/entry/caller_reader.cpp
+++ b/entry/caller_reader.cpp
@@ -124,7 +124,7 @@
   if (key.empty())
     key = parameter;
   for (const HttpField &it : Request.Fields) {
-    bool isKept = !isKeyHeader(it.Name) && !isHopField(it.Name) &&
+    bool isKept = !isKeyHeader(it.Name) && !isHopByHopField(it.Name) &&
                   (key.empty() || it.Value.find(key) == std::string::npos);
     if (isKept)
       caller.Headers.push_back({it.Name, it.Value});
--- a/http/client.cpp
+++ b/http/client.cpp
@@ -147,7 +147,7 @@
     for (const HttpField &it : Request.Fields)
       if (it.Name == "host")
         Message.set(http::field::host, it.Value);
-      else if (!isHopField(it.Name))
+      else if (!isHopByHopField(it.Name))
         Message.insert(it.Name, it.Value);
     Message.keep_alive(Client->KeepsConnections);
     Message.body() = Request.Body;
--- a/http/message.h
+++ b/http/message.h
@@ -34,7 +34,7 @@
 }
 
 /// True for fields that concern one connection only.
-bool isHopField(std::string_view Name);
+bool isHopByHopField(std::string_view Name);
 
 /// Removes every field called \p Name.
 void eraseField(std::vector<HttpField> &Fields, std::string_view Name);
--- a/http/server.cpp
+++ b/http/server.cpp
@@ -59,7 +59,7 @@
   Fields.push_back({std::string(Name), std::move(Value)});
 }
 
-bool isHopField(std::string_view Name) {
+bool isHopByHopField(std::string_view Name) {
   for (std::string_view it :
        {"connection", "keep-alive", "proxy-connection", "te", "trailer",
         "transfer-encoding", "upgrade", "content-length", "expect", "host"})
@@ -202,7 +202,7 @@
     head.version(IsOld ? 10 : 11);
     head.result(Status);
     for (const HttpField &it : Fields)
-      if (!isHopField(it.Name))
+      if (!isHopByHopField(it.Name))
         head.insert(it.Name, it.Value);
     bool isKept = KeepAlive && Owner->keepsAlive();
     head.keep_alive(isKept);
