--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -482,7 +482,7 @@
   limits.BodyBytes = table->Limits.BodyBytes;
   limits.HeadTime = table->Limits.HeadTime;
   limits.IdleTime = table->Limits.IdleTime;
-  limits.EndsWithCaller = true;
+  limits.CancelsOnDisconnect = true;
   CallerServer->setLimits(limits);
   logEvent(LogLevel::Info, "table_in_force",
            {{"version", std::to_string(Version)},
--- a/http/server.cpp
+++ b/http/server.cpp
@@ -370,7 +370,7 @@
 
 /// Notices a caller that closes while its answer is made.
 void Session::watchCaller() {
-  if (!Server->Limits.EndsWithCaller || Buffer.size() > 0)
+  if (!Server->Limits.CancelsOnDisconnect || Buffer.size() > 0)
     return;
   Stream.socket().async_wait(
       Tcp::socket::wait_read,
--- a/http/server.h
+++ b/http/server.h
@@ -28,7 +28,7 @@
   Millis IdleTime{75'000}; ///< Kept connection without a request.
   /// A caller that closes its side is taken as gone, and the exchange is lost;
   /// else it may still read its answer.
-  bool EndsWithCaller = false;
+  bool CancelsOnDisconnect = false;
 };
 
 /// One request's answer. All methods are thread safe and may be called after
