--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -711,7 +711,7 @@
     self->Core.State.IsStopping = true;
     self->BalancerDrainEnd = now + BalancerDrainTime;
     self->StopDeadline = now + self->Options.FrontRole.StopGrace - StopMargin;
-    self->CallerServer->windDown();
+    self->CallerServer->drain();
     self->HeldRequests.HoldEnd = now;
     if (self->Group)
       self->Group->post(StoreStop{});
--- a/http/server.cpp
+++ b/http/server.cpp
@@ -564,7 +564,7 @@
     it->closeIdle();
 }
 
-void HttpServer::windDown() { Data->IsWindingDown = true; }
+void HttpServer::drain() { Data->IsWindingDown = true; }
 
 void HttpServer::setLimits(const HttpLimits &Limits) { Data->Limits = Limits; }
 
--- a/http/server.h
+++ b/http/server.h
@@ -82,7 +82,7 @@
   /// Takes new connections still, but lets each answer end its connection, so
   /// that a balancer has time to turn elsewhere. Call on the thread that runs
   /// the context.
-  void windDown();
+  void drain();
   /// Limits for requests read from now on. Call on that thread.
   void setLimits(const HttpLimits &Limits);
   /// Exchanges not yet written out. Thread safe.
