--- a/entry/entry_shell.cpp
+++ b/entry/entry_shell.cpp
@@ -275,7 +275,7 @@
 }
 
 void EntryShell::waitForAnswers() {
-  bool isEmpty = Server->countOpen() == 0;
+  bool isEmpty = Server->countOpenExchanges() == 0;
   if (isEmpty)
     post(EntryStop{});
   StopTimer.expires_after(isEmpty && IsDone ? ExitDelay : ExitPoll);
--- a/http/server.cpp
+++ b/http/server.cpp
@@ -568,6 +568,6 @@
 
 void HttpServer::setLimits(const HttpLimits &Limits) { Data->Limits = Limits; }
 
-size_t HttpServer::countOpen() const { return Data->OpenCount; }
+size_t HttpServer::countOpenExchanges() const { return Data->OpenCount; }
 
 } // namespace sassafras
--- a/http/server.h
+++ b/http/server.h
@@ -86,7 +86,7 @@
   /// Limits for requests read from now on. Call on that thread.
   void setLimits(const HttpLimits &Limits);
   /// Exchanges not yet written out. Thread safe.
-  size_t countOpen() const;
+  size_t countOpenExchanges() const;
 
   struct Impl;
 
