--- a/front/fleet_api.cpp
+++ b/front/fleet_api.cpp
@@ -71,7 +71,7 @@
   } else if (std::holds_alternative<platform::MetricsQuestion>(call)) {
     Exchange->respond(StatusOk, {{"content-type", "text/plain"}},
                       Deps.Core.Counts.print());
-  } else if (auto *unreadable = std::get_if<platform::UnreadableCall>(&call)) {
+  } else if (auto *unreadable = std::get_if<platform::MalformedCall>(&call)) {
     Deps.Core.Counts.count("calls_unreadable_total");
     logEvent(LogLevel::Warning, "call_unreadable",
              {{"target", Request.Target}, {"reason", unreadable->Reason}});
--- a/tests/platform/test_codecs.cpp
+++ b/tests/platform/test_codecs.cpp
@@ -137,7 +137,7 @@
     auto call = platform::readFleetCall(
         {"POST", "/Instances.Heartbeat/i-1", {}, it.Body});
     CHECK(std::holds_alternative<platform::Announcement>(call) == it.IsRead);
-    CHECK(std::holds_alternative<platform::UnreadableCall>(call) != it.IsRead);
+    CHECK(std::holds_alternative<platform::MalformedCall>(call) != it.IsRead);
   }
   auto call = platform::readFleetCall({"POST", "/Instances.Leave/i-1", {}, ""});
   auto *spoken = std::get_if<platform::Announcement>(&call);
