--- a/front/fleet_api.cpp
+++ b/front/fleet_api.cpp
@@ -64,7 +64,7 @@
     putTable(Request, Exchange);
   } else if (std::holds_alternative<platform::GetTable>(call)) {
     getTable(Exchange);
-  } else if (std::holds_alternative<platform::ReadyQuestion>(call)) {
+  } else if (std::holds_alternative<platform::ReadinessQuery>(call)) {
     bool isReady = Deps.IsReady();
     Exchange->respond(isReady ? StatusOk : StatusUnavailable, {},
                       isReady ? "ready\n" : "not ready\n");
