--- a/front/fleet_api.cpp
+++ b/front/fleet_api.cpp
@@ -68,7 +68,7 @@
     bool isReady = Deps.IsReady();
     Exchange->respond(isReady ? StatusOk : StatusUnavailable, {},
                       isReady ? "ready\n" : "not ready\n");
-  } else if (std::holds_alternative<platform::MetricsQuestion>(call)) {
+  } else if (std::holds_alternative<platform::MetricsQuery>(call)) {
     Exchange->respond(StatusOk, {{"content-type", "text/plain"}},
                       Deps.Core.Counts.print());
   } else if (auto *unreadable = std::get_if<platform::MalformedCall>(&call)) {
