--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -269,7 +269,7 @@
                                const std::shared_ptr<HttpExchange> &Exchange,
                                TimePoint ArrivedAt) {
   TimePoint now = Clock::now();
-  platform::CallerFields fields = platform::takeCallerFields(Request);
+  platform::CallerFields fields = platform::extractCallerFields(Request);
   RequestFacts facts;
   facts.Id = fields.RequestId;
   facts.Method = Request.Method;
--- a/tests/platform/test_codecs.cpp
+++ b/tests/platform/test_codecs.cpp
@@ -163,7 +163,7 @@
   request.Fields.push_back({"sassafrasseam-attempt-id", "id-1"});
   request.Fields.push_back({"sassafrasseam-model", "m/a3"});
   request.Fields.push_back({"sassafrasseam-token-counts", "14,80"});
-  auto fields = platform::takeCallerFields(request);
+  auto fields = platform::extractCallerFields(request);
   CHECK(fields.Key == "secret");
   CHECK(fields.Model == "m");
   CHECK(fields.Adapter == "a3");
