--- a/front/relay.cpp
+++ b/front/relay.cpp
@@ -141,7 +141,7 @@
   platform::EndpointFields fields{left, Endpoint, Request.Organisation,
                                   Request.Urgency, Request.LastEvent};
   HttpRequest message = Message;
-  platform::putEndpointFields(message, fields);
+  platform::setEndpointFields(message, fields);
   HttpCallbacks calls;
   auto self = shared_from_this();
   calls.OnHead = [self](HttpResponseHead Head) {
--- a/tests/platform/test_codecs.cpp
+++ b/tests/platform/test_codecs.cpp
@@ -172,7 +172,7 @@
   platform::EndpointFields told;
   told.TimeLeft = Millis(900);
   told.Endpoint = "i-1";
-  platform::putEndpointFields(request, told);
+  platform::setEndpointFields(request, told);
   for (const HttpField &it : request.Fields) {
     INFO(it.Name);
     CHECK(it.Value.find("secret") == std::string::npos);
