--- a/front/relay.cpp
+++ b/front/relay.cpp
@@ -158,7 +158,7 @@
 /// An answer to another request, or bytes that no endpoint vouches for, must
 /// not reach the caller.
 bool Relay::isTrusted(const HttpResponseHead &Head) const {
-  auto fields = platform::readAnswerFields(Head.Status, Head.Fields);
+  auto fields = platform::readResponseFields(Head.Status, Head.Fields);
   if (fields.RequestId != Request.Facts.Id)
     return fields.RequestId.empty() && !isSuccess(Head.Status);
   return fields.IsSealed || !isSuccess(Head.Status);
@@ -168,7 +168,7 @@
   if (IsOver)
     return;
   TimePoint now = Clock::now();
-  auto fields = platform::readAnswerFields(NewHead.Status, NewHead.Fields);
+  auto fields = platform::readResponseFields(NewHead.Status, NewHead.Fields);
   if (!isTrusted(NewHead)) {
     Core.Counts.count("answers_distrusted_total");
     breakExchange(ExchangeFailure::Broken);
--- a/tests/platform/test_codecs.cpp
+++ b/tests/platform/test_codecs.cpp
@@ -185,17 +185,17 @@
 }
 
 TEST_CASE("answer says whether its request has run") {
-  auto notRun =
-      platform::readAnswerFields(503, {{"sassafrasseam-not-executed", "1"},
-                                       {"sassafrasseam-attempt-id", "x"},
-                                       {"sassafrasseam-server-load", "3,1,8"}});
+  auto notRun = platform::readResponseFields(
+      503, {{"sassafrasseam-not-executed", "1"},
+            {"sassafrasseam-attempt-id", "x"},
+            {"sassafrasseam-server-load", "3,1,8"}});
   CHECK(notRun.IsNotRun);
   REQUIRE(notRun.Load);
   CHECK(notRun.Load->Waiting == 1);
-  CHECK(platform::readAnswerFields(421, {}).IsNotRun);
-  CHECK_FALSE(platform::readAnswerFields(503, {}).IsNotRun);
+  CHECK(platform::readResponseFields(421, {}).IsNotRun);
+  CHECK_FALSE(platform::readResponseFields(503, {}).IsNotRun);
   CHECK_FALSE(
-      platform::readAnswerFields(200, {{"sassafrasseam-server-load", "3,x"}})
+      platform::readResponseFields(200, {{"sassafrasseam-server-load", "3,x"}})
           .Load);
 }
 
