--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -319,7 +319,7 @@
             {"path", Facts.Path},
             {"table", std::to_string(version)}});
   std::vector<HttpField> fields{{"content-type", "application/json"},
-                                platform::printRequestId(Facts.Id)};
+                                platform::makeRequestIdField(Facts.Id)};
   if (Refusal.RetryAfter)
     fields.push_back(platform::printRetryAfter(*Refusal.RetryAfter));
   Exchange.respond(statusOf(Refusal.Reason), std::move(fields),
--- a/front/relay.cpp
+++ b/front/relay.cpp
@@ -358,7 +358,7 @@
     return;
   }
   std::vector<HttpField> fields{{"content-type", "application/json"},
-                                platform::printRequestId(Request.Facts.Id)};
+                                platform::makeRequestIdField(Request.Facts.Id)};
   RetryAfter = Refusal.RetryAfter;
   if (RetryAfter)
     fields.push_back(platform::printRetryAfter(*RetryAfter));
