--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -321,7 +321,7 @@
   std::vector<HttpField> fields{{"content-type", "application/json"},
                                 platform::makeRequestIdField(Facts.Id)};
   if (Refusal.RetryAfter)
-    fields.push_back(platform::printRetryAfter(*Refusal.RetryAfter));
+    fields.push_back(platform::makeRetryAfterField(*Refusal.RetryAfter));
   Exchange.respond(statusOf(Refusal.Reason), std::move(fields),
                    R"({"error":{"reason":")" + reason +
                        R"(","ran":"not_run"}})"
--- a/front/relay.cpp
+++ b/front/relay.cpp
@@ -361,7 +361,7 @@
                                 platform::makeRequestIdField(Request.Facts.Id)};
   RetryAfter = Refusal.RetryAfter;
   if (RetryAfter)
-    fields.push_back(platform::printRetryAfter(*RetryAfter));
+    fields.push_back(platform::makeRetryAfterField(*RetryAfter));
   unsigned status = statusOf(Refusal.Reason);
   // Only what has surely not run may be told so.
   if (Request.Runs > 0 && isPromise(status))
