--- a/engine_agent/engine_agent_shell.cpp
+++ b/engine_agent/engine_agent_shell.cpp
@@ -195,7 +195,7 @@
     self->IsPolling = false;
     self->loseEngine(Break.IsRefused ? "refused" : "no answer");
   };
-  Client.start(Options.EngineAgentRole.Engine, platform::printStateQuestion(),
+  Client.start(Options.EngineAgentRole.Engine, platform::makeStateRequest(),
                {EngineSilence, EngineSilence, EngineSilence * 4},
                std::move(calls));
 }
