--- a/engine_agent/engine_agent_shell.cpp
+++ b/engine_agent/engine_agent_shell.cpp
@@ -283,9 +283,9 @@
   calls.OnBody = [](std::string_view) {};
   calls.OnEnd = [finish] { finish(true); };
   calls.OnFailure = [finish](HttpFailure) { finish(false); };
-  Client.start(Options.EngineAgentRole.Engine, platform::printCommand(command),
-               {EngineSilence, EngineSilence, EngineSilence * 4},
-               std::move(calls));
+  Client.start(
+      Options.EngineAgentRole.Engine, platform::makeCommandRequest(command),
+      {EngineSilence, EngineSilence, EngineSilence * 4}, std::move(calls));
 }
 
 // ---- Fronts ----
