--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -480,8 +480,8 @@
   HttpLimits limits;
   limits.HeadBytes = table->Limits.HeadBytes;
   limits.BodyBytes = table->Limits.BodyBytes;
-  limits.HeadTime = table->Limits.HeadTime;
-  limits.IdleTime = table->Limits.IdleTime;
+  limits.HeadTimeout = table->Limits.HeadTime;
+  limits.IdleTimeout = table->Limits.IdleTime;
   limits.CancelsOnDisconnect = true;
   CallerServer->setLimits(limits);
   logEvent(LogLevel::Info, "table_in_force",
--- a/http/server.cpp
+++ b/http/server.cpp
@@ -211,7 +211,7 @@
           http::field::keep_alive,
           "timeout=" +
               std::to_string(std::chrono::duration_cast<std::chrono::seconds>(
-                                 Owner->limits().IdleTime)
+                                 Owner->limits().IdleTimeout)
                                  .count()));
     return head;
   }
@@ -250,7 +250,7 @@
     return;
   }
   Server->Idle.insert(this);
-  Stream.expires_after(Server->Limits.IdleTime);
+  Stream.expires_after(Server->Limits.IdleTimeout);
   Stream.async_read_some(
       Buffer.prepare(ReadChunk),
       [self = shared_from_this()](beast::error_code ec, size_t n) {
@@ -268,7 +268,7 @@
   Parser.emplace();
   Parser->header_limit(Server->Limits.HeadBytes);
   Parser->body_limit(Server->Limits.BodyBytes);
-  Stream.expires_after(Server->Limits.HeadTime);
+  Stream.expires_after(Server->Limits.HeadTimeout);
   http::async_read_header(
       Stream, Buffer, *Parser,
       [self = shared_from_this()](beast::error_code ec, size_t) {
@@ -317,7 +317,7 @@
     return;
   }
   auto read = [self = shared_from_this()] {
-    self->Stream.expires_after(self->Server->Limits.BodyTime);
+    self->Stream.expires_after(self->Server->Limits.BodyTimeout);
     http::async_read(
         self->Stream, self->Buffer, *self->Parser,
         [self](beast::error_code ec, size_t) {
--- a/http/server.h
+++ b/http/server.h
@@ -23,9 +23,9 @@
   uint32_t HeadBytes = 32 * 1024;
   uint64_t BodyBytes = 8ULL * 1024 * 1024;
   size_t UnreadBytes = 4ULL * 1024 * 1024; ///< Answer bytes not yet taken.
-  Millis HeadTime{10'000}; ///< For the head, from its first byte.
-  Millis BodyTime{30'000}; ///< For the body.
-  Millis IdleTime{75'000}; ///< Kept connection without a request.
+  Millis HeadTimeout{10'000}; ///< For the head, from its first byte.
+  Millis BodyTimeout{30'000}; ///< For the body.
+  Millis IdleTimeout{75'000}; ///< Kept connection without a request.
   /// A caller that closes its side is taken as gone, and the exchange is lost;
   /// else it may still read its answer.
   bool CancelsOnDisconnect = false;
