--- a/engine_agent/engine_agent_shell.cpp
+++ b/engine_agent/engine_agent_shell.cpp
@@ -259,7 +259,7 @@
   command.Adapter = Decision.Adapter;
   command.ExpectedSequence = Decision.ExpectedSequence;
   command.Holder = Options.Node;
-  command.Fence = OwnFence;
+  command.FencingToken = OwnFence;
   command.Endpoint = Decision.Endpoint;
   Counts.count("engine_orders_total",
                Decision.IsLoad ? "kind=\"load\"" : "kind=\"unload\"");
