--- a/core/compress.cpp
+++ b/core/compress.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// The size of the text stands before the compressed bytes.
+/// Size of the header that holds the length of the uncompressed text.
 constexpr size_t HeaderSize = sizeof(uint64_t);
 
 } // namespace
@@ -25,12 +25,13 @@
   return out;
 }
 
-std::optional<std::string> decompressText(std::string_view Bytes, size_t Most) {
+std::optional<std::string> decompressText(std::string_view Bytes,
+                                          size_t MaxSize) {
   uint64_t length = 0;
   if (Bytes.size() < HeaderSize)
     return std::nullopt;
   std::memcpy(&length, Bytes.data(), HeaderSize);
-  if (length > Most)
+  if (length > MaxSize)
     return std::nullopt;
   std::string out(length, '\0');
   uLongf size = length;
--- a/core/compress.h
+++ b/core/compress.h
@@ -1,5 +1,5 @@
 /// \file
-/// Compression of texts that are kept and passed between nodes.
+/// Compression of texts that are stored and sent between nodes.
 #ifndef SASSAFRAS_CORE_COMPRESS_H
 #define SASSAFRAS_CORE_COMPRESS_H
 
@@ -9,11 +9,13 @@
 
 namespace sassafras {
 
-/// Thread safe.
+/// Compresses \p Text with zlib, prefixed with its uncompressed size. Thread
+/// safe.
 std::string compressText(std::string_view Text);
-/// Nothing when \p Bytes were not made by compressText, or hold more than
-/// \p Most bytes. Thread safe.
-std::optional<std::string> decompressText(std::string_view Bytes, size_t Most);
+/// Returns nullopt when \p Bytes is not output of compressText, or when the
+/// text is longer than \p MaxSize bytes. Thread safe.
+std::optional<std::string> decompressText(std::string_view Bytes,
+                                          size_t MaxSize);
 
 } // namespace sassafras
 
--- a/core/hash.cpp
+++ b/core/hash.cpp
@@ -24,10 +24,10 @@
   return out;
 }
 
-void drawBytes(unsigned char *Bytes, int Size) {
+void fillRandom(unsigned char *Bytes, int Size) {
   if (RAND_bytes(Bytes, Size) == 1)
     return;
-  // Without random numbers no identity is safe.
+  // Identities and keys would not be unique or secret without random bytes.
   std::fputs("event=random_source_failed\n", stderr);
   std::abort();
 }
@@ -63,7 +63,7 @@
 uint64_t generateIdentity() {
   uint64_t n = 0;
   while (n == 0)
-    drawBytes(reinterpret_cast<unsigned char *>(&n), sizeof n);
+    fillRandom(reinterpret_cast<unsigned char *>(&n), sizeof n);
   return n;
 }
 
@@ -75,7 +75,7 @@
 
 std::string generateKey() {
   unsigned char buf[16];
-  drawBytes(buf, sizeof buf);
+  fillRandom(buf, sizeof buf);
   return "sk-" + toHex(buf, sizeof buf);
 }
 
--- a/core/hash.h
+++ b/core/hash.h
@@ -1,6 +1,7 @@
 /// \file
-/// Digests. Keys are kept only as keyed hashes; request digests identify
-/// resends and crashing requests.
+/// Hashes and random identifiers. API keys are stored only as keyed hashes;
+/// request digests identify repeated requests and requests that crash
+/// endpoints.
 #ifndef SASSAFRAS_CORE_HASH_H
 #define SASSAFRAS_CORE_HASH_H
 
@@ -19,14 +20,16 @@
 /// XXH64 of \p Bytes. Thread safe.
 uint64_t checksumOf(std::string_view Bytes);
 
-/// Random 64-bit number, never zero, from the system. Thread safe.
+/// Random non-zero 64-bit number from OpenSSL's generator. Aborts the process
+/// when no random bytes are available. Thread safe.
 uint64_t generateIdentity();
 
-/// Number of this process start: later starts on one host get higher ones.
-/// Thread safe.
+/// Incarnation number of a process: microseconds of the wall clock, so that
+/// later starts on one host get higher numbers. Thread safe.
 uint64_t makeIncarnation();
 
-/// Random key of 32 hex digits with a prefix. Thread safe.
+/// Random API key: the prefix "sk-" and 32 hex digits. Aborts the process when
+/// no random bytes are available. Thread safe.
 std::string generateKey();
 
 } // namespace sassafras
--- a/core/json.cpp
+++ b/core/json.cpp
@@ -1,3 +1,3 @@
 /// \file
-/// The one place where the header-only JSON library is compiled.
+/// Compiles the header-only Boost.JSON sources, once for the whole program.
 #include <boost/json/src.hpp>
