--- a/core/logging.cpp
+++ b/core/logging.cpp
@@ -22,28 +22,30 @@
 
 namespace sinks = boost::log::sinks;
 
-/// Lines in one second at most; the rest is counted and told of.
-constexpr uint64_t MostLines = 400;
-constexpr std::chrono::seconds LineSpan{1};
+/// At most this many lines are written per window; further lines are dropped
+/// and their number is logged.
+constexpr uint64_t MaxLinesPerWindow = 400;
+constexpr std::chrono::seconds LineWindow{1};
 
 std::string NodeName;
 
-/// Writes lines to standard output and never waits for its reader: what it
-/// does not take, and what is beyond the bound, is dropped and counted.
+/// Writes lines to standard output without blocking. Lines that the reader
+/// does not accept at once, or that exceed the limit per window, are dropped
+/// and counted.
 class OutputBackend
     : public sinks::basic_formatted_sink_backend<char,
                                                  sinks::synchronized_feeding> {
 public:
   void consume(const boost::log::record_view &, const std::string &Line) {
     TimePoint now = Clock::now();
-    if (now >= SpanEnd) {
-      SpanEnd = now + LineSpan;
+    if (now >= WindowEnd) {
+      WindowEnd = now + LineWindow;
       Lines = 0;
       if (Dropped > 0 && write("event=log_lines_dropped node=" + NodeName +
                                " count=" + std::to_string(Dropped)))
         Dropped = 0;
     }
-    if (++Lines > MostLines || !write(Line))
+    if (++Lines > MaxLinesPerWindow || !write(Line))
       ++Dropped;
   }
 
@@ -57,7 +59,7 @@
            static_cast<ssize_t>(text.size());
   }
 
-  TimePoint SpanEnd;
+  TimePoint WindowEnd;
   uint64_t Lines = 0;
   uint64_t Dropped = 0;
 };
@@ -93,14 +95,15 @@
 
 } // namespace
 
-void startLogging(LogLevel Least, const std::string &Node) {
+void startLogging(LogLevel MinLevel, const std::string &Node) {
   NodeName = Node;
   namespace expressions = boost::log::expressions;
   auto sink = boost::make_shared<sinks::synchronous_sink<OutputBackend>>(
       boost::make_shared<OutputBackend>());
   sink->set_formatter(expressions::stream << expressions::smessage);
   boost::log::core::get()->add_sink(sink);
-  boost::log::core::get()->set_filter(trivial::severity >= severityOf(Least));
+  boost::log::core::get()->set_filter(trivial::severity >=
+                                      severityOf(MinLevel));
 }
 
 void logEvent(LogLevel Level, std::string_view Event,
--- a/core/logging.h
+++ b/core/logging.h
@@ -1,5 +1,5 @@
 /// \file
-/// Structured log: one line of key=value pairs for each event.
+/// Structured logging: one line of key=value pairs per event.
 #ifndef SASSAFRAS_CORE_LOGGING_H
 #define SASSAFRAS_CORE_LOGGING_H
 
@@ -11,17 +11,19 @@
 
 enum class LogLevel { Debug, Info, Warning, Error };
 
-/// One key and its value; values are quoted where they need it.
+/// One key=value pair of a log line. The value is quoted when it is empty
+/// or contains white space, '=', a quote or a backslash.
 struct LogField {
   std::string_view Key;
   std::string Value;
 };
 
-/// Sets the least level that is written and the node named on each line.
-/// Call before other threads start.
-void startLogging(LogLevel Least, const std::string &Node);
+/// Sets the lowest level that is written and the node name on each line. Call
+/// before other threads start.
+void startLogging(LogLevel MinLevel, const std::string &Node);
 
-/// Writes one line. Thread safe. Never pass a key or a body.
+/// Writes one line. Thread safe. Never log an API key or a request or response
+/// body.
 void logEvent(LogLevel Level, std::string_view Event,
               std::initializer_list<LogField> Fields = {});
 
--- a/core/metrics.cpp
+++ b/core/metrics.cpp
@@ -14,32 +14,32 @@
 
 using LogAxis = bh::axis::regular<double, bh::axis::transform::log>;
 
-/// Seconds covered by the buckets of a histogram.
-constexpr double LeastSeconds = 0.001;
-constexpr double MostSeconds = 300.0;
+/// Range of the histogram buckets, in seconds.
+constexpr double MinSeconds = 0.001;
+constexpr double MaxSeconds = 300.0;
 constexpr unsigned BucketCount = 24;
 
 struct Distribution {
   decltype(bh::make_histogram(LogAxis())) Buckets = bh::make_histogram(
-      LogAxis(BucketCount, LeastSeconds, MostSeconds, "seconds"));
+      LogAxis(BucketCount, MinSeconds, MaxSeconds, "seconds"));
   double Sum = 0;
   uint64_t Count = 0;
 };
 
 void printDistribution(std::ostream &Out, const std::string &Name,
                        const std::string &Labels, const Distribution &Values) {
-  std::string before = Labels.empty() ? "" : Labels + ",";
-  std::string alone = Labels.empty() ? "" : "{" + Labels + "}";
-  double below = Values.Buckets.at(-1);
+  std::string labelPrefix = Labels.empty() ? "" : Labels + ",";
+  std::string labelSet = Labels.empty() ? "" : "{" + Labels + "}";
+  double cumulative = Values.Buckets.at(-1);
   for (int i = 0; i < static_cast<int>(BucketCount); ++i) {
-    below += Values.Buckets.at(i);
-    Out << Name << "_bucket{" << before << "le=\""
-        << Values.Buckets.axis().bin(i).upper() << "\"} " << below << '\n';
+    cumulative += Values.Buckets.at(i);
+    Out << Name << "_bucket{" << labelPrefix << "le=\""
+        << Values.Buckets.axis().bin(i).upper() << "\"} " << cumulative << '\n';
   }
-  Out << Name << "_bucket{" << before << "le=\"+Inf\"} " << Values.Count
+  Out << Name << "_bucket{" << labelPrefix << "le=\"+Inf\"} " << Values.Count
       << '\n';
-  Out << Name << "_sum" << alone << ' ' << Values.Sum << '\n';
-  Out << Name << "_count" << alone << ' ' << Values.Count << '\n';
+  Out << Name << "_sum" << labelSet << ' ' << Values.Sum << '\n';
+  Out << Name << "_count" << labelSet << ' ' << Values.Count << '\n';
 }
 
 } // namespace
@@ -48,7 +48,7 @@
   mutable std::mutex Lock;
   std::map<std::string, uint64_t> Counters;
   std::map<std::string, double> Gauges;
-  /// By name and labels.
+  /// Keyed by name and labels.
   std::map<std::pair<std::string, std::string>, Distribution> Distributions;
 };
 
@@ -71,9 +71,9 @@
   Data->Gauges[keyOf(Name, Labels)] = Value;
 }
 
-void Metrics::observe(const std::string &Name, Clock::duration Span,
+void Metrics::observe(const std::string &Name, Clock::duration Duration,
                       const std::string &Labels) {
-  double seconds = std::chrono::duration<double>(Span).count();
+  double seconds = std::chrono::duration<double>(Duration).count();
   std::lock_guard guard(Data->Lock);
   Distribution &values = Data->Distributions[{Name, Labels}];
   values.Buckets(seconds);
--- a/core/metrics.h
+++ b/core/metrics.h
@@ -1,5 +1,6 @@
 /// \file
-/// Counters, gauges and histograms of one process, printed as text.
+/// Counters, gauges and histograms of one process in the Prometheus text
+/// format.
 #ifndef SASSAFRAS_CORE_METRICS_H
 #define SASSAFRAS_CORE_METRICS_H
 
@@ -11,7 +12,7 @@
 
 namespace sassafras {
 
-/// Registry of one process. All methods are thread safe.
+/// Metrics registry of one process. All methods are thread safe.
 class Metrics {
 public:
   Metrics();
@@ -24,14 +25,14 @@
              uint64_t Amount = 1);
   /// Sets gauge \p Name to \p Value.
   void set(const std::string &Name, const std::string &Labels, double Value);
-  /// Records \p Span in the histogram \p Name, in seconds.
-  void observe(const std::string &Name, Clock::duration Span,
+  /// Records \p Duration in the histogram \p Name, in seconds.
+  void observe(const std::string &Name, Clock::duration Duration,
                const std::string &Labels = {});
-  /// Value of a counter, 0 when it was never counted.
+  /// Value of a counter; 0 when it does not exist.
   uint64_t read(const std::string &Name, const std::string &Labels = {}) const;
-  /// Names with labels and values of all counters that begin with \p Prefix.
+  /// Counters whose name begins with \p Prefix, by name with labels.
   std::map<std::string, uint64_t> list(const std::string &Prefix) const;
-  /// Text exposition of everything recorded.
+  /// Text exposition of all metrics.
   std::string print() const;
 
 private:
