--- a/core/role_shell.h
+++ b/core/role_shell.h
@@ -1,5 +1,6 @@
 /// \file
-/// A process's shell: what carries a role's decisions out.
+/// Interface of a role's shell: it performs the I/O that the decisions of the
+/// role's state machine require.
 #ifndef SASSAFRAS_CORE_ROLE_SHELL_H
 #define SASSAFRAS_CORE_ROLE_SHELL_H
 
@@ -18,7 +19,7 @@
 
 class Metrics;
 
-/// What every shell is built from; all of it outlives the shell.
+/// Dependencies of a shell. They must outlive it.
 struct ShellParts {
   boost::asio::io_context &Io;
   caf::actor_system &System;
@@ -29,14 +30,15 @@
 class RoleShell {
 public:
   virtual ~RoleShell() = default;
-  /// Binds, restores and starts. False, with the reason in \p Problem, on
-  /// failure. Call once, before the context runs.
+  /// Binds the listening sockets, restores stored state and starts the role.
+  /// Returns false, with the reason in \p Problem, on failure. Call once,
+  /// before the I/O context runs.
   virtual bool start(std::string &Problem) = 0;
-  /// Asks for a graceful stop; the context's run ends then. Thread safe; a
-  /// second call changes nothing.
+  /// Starts a graceful stop, after which the I/O context's run() returns.
+  /// Thread safe; repeated calls have no effect.
   virtual void stop() = 0;
-  /// The settings file has changed. Call on the context's thread. What a role
-  /// cannot change while it runs stays as it was.
+  /// Applies changed settings. Settings that the role cannot change while it
+  /// runs keep their values. Call on the I/O context's thread.
   virtual void reload(const Settings &) {}
 };
 
