--- a/core/reason.h
+++ b/core/reason.h
@@ -1,6 +1,6 @@
 /// \file
-/// Reasons for which a request is refused or retried. Each has a stable name
-/// that callers see and that counters carry.
+/// Reasons for refusing or retrying a request. Each has a stable name that is
+/// used in responses and metrics.
 #ifndef SASSAFRAS_CORE_REASON_H
 #define SASSAFRAS_CORE_REASON_H
 
@@ -8,7 +8,7 @@
 
 namespace sassafras {
 
-/// Why a caller did not get the answer of an endpoint.
+/// Why a caller did not get an endpoint's response.
 enum class RefusalReason {
   KeyMissing,
   KeyUnknown,
@@ -34,7 +34,7 @@
   RetriesExhausted,
 };
 
-/// All reasons, in the order of their declaration.
+/// All reasons, in declaration order.
 inline constexpr RefusalReason AllRefusalReasons[] = {
     RefusalReason::KeyMissing,       RefusalReason::KeyUnknown,
     RefusalReason::KeyUnconfirmed,   RefusalReason::OrganisationNotAllowed,
@@ -49,16 +49,16 @@
     RefusalReason::TimeoutRunning,   RefusalReason::RetriesExhausted,
 };
 
-/// Stable name of \p Reason, as in bodies, counters and docs.
+/// Stable name of \p Reason, as used in response bodies, metrics and docs.
 std::string_view nameOf(RefusalReason Reason);
 
-/// HTTP status that goes with \p Reason.
+/// HTTP status for \p Reason.
 unsigned statusOf(RefusalReason Reason);
 
-/// True when a later try of the same request may succeed.
+/// True when the same request may succeed if it is sent again later.
 bool isTransient(RefusalReason Reason);
 
-/// Why an attempt was given up and another one made.
+/// Why an attempt was abandoned and another one started.
 enum class RetryReason {
   AgentRefused,
   EndpointLost,
@@ -69,7 +69,7 @@
   EndpointError,
 };
 
-/// Stable name of \p Reason.
+/// Stable name of \p Reason, as used in metrics.
 std::string_view nameOf(RetryReason Reason);
 
 } // namespace sassafras
--- a/core/settings.h
+++ b/core/settings.h
@@ -1,5 +1,5 @@
 /// \file
-/// Checked settings of one daemon.
+/// Validated settings of one daemon.
 #ifndef SASSAFRAS_CORE_SETTINGS_H
 #define SASSAFRAS_CORE_SETTINGS_H
 
@@ -14,7 +14,7 @@
 
 enum class NodeRole { Entry, Control, Agent, Front, EngineAgent };
 
-/// [control_role]: only read by control processes.
+/// [control_role]: read by control processes only.
 struct ControlSettings {
   std::string DataFolder;
   uint32_t LoadsPerSecond = 5;
@@ -27,13 +27,14 @@
   double ColdStartPrice = 3;
 };
 
-/// [agent_role]: only read by agents.
+/// [agent_role]: read by agents only.
 struct AgentSettings {
   uint32_t Slots = 8;
-  std::string Service; ///< Row of the plain service beside it; empty: engine.
+  /// Row of the plain service that the agent serves; empty: a model engine.
+  std::string Service;
 };
 
-/// [entry_role]: only read by entries.
+/// [entry_role]: read by entries only.
 struct EntrySettings {
   uint32_t HeadBytes = 32 * 1024;
   uint64_t BodyBytes = 8ULL * 1024 * 1024;
@@ -41,20 +42,20 @@
 
 /// [front_role]: entry and control in one process, on a prepared platform.
 struct FrontSettings {
-  std::string Ready;              ///< The balancer's question is answered here.
-  std::string Control;            ///< Operators and endpoints call here.
+  std::string Ready;   ///< Address of the balancer's readiness check.
+  std::string Control; ///< Address for operators and endpoints.
   std::vector<std::string> Seeds; ///< Control addresses of some fronts.
-  bool MayForm = false;           ///< The fleet starts for the first time.
-  std::string DataFolder;         ///< Empty: keeps no log.
-  double RetryRatio = 0.2;        ///< Retries for each request of a service.
-  double RetrySlack = 60;     ///< Retries beyond that in a window, all fronts.
-  Millis RateWindow{8'000};   ///< Limits are judged over this.
-  double RateOvershoot = 0.1; ///< Allowed beyond rate and burst, as a part.
+  bool MayForm = false;       ///< Set when the fleet starts for the first time.
+  std::string DataFolder;     ///< Empty: stores no log.
+  double RetryRatio = 0.2;    ///< Retries per request of a service.
+  double RetrySlack = 60;     ///< Further retries per window, for all fronts.
+  Millis RateWindow{8'000};   ///< Limits are checked over this window.
+  double RateOvershoot = 0.1; ///< Allowed over rate and burst, as a fraction.
   double RateSlack = 0;       ///< Allowed beyond that, in tokens.
-  Millis StopGrace{8'000};    ///< From the signal to stop to the end.
+  Millis StopGrace{8'000};    ///< From the stop signal to the exit.
 };
 
-/// [engine_agent_role]: the process beside a model engine.
+/// [engine_agent_role]: the process that runs next to a model engine.
 struct EngineAgentSettings {
   std::string Engine; ///< Address of the engine.
   std::vector<std::string> Seeds;
@@ -65,8 +66,8 @@
   std::string Node;
   NodeRole Role = NodeRole::Entry;
   std::string Zone;
-  std::string Listen; ///< Inner protocol.
-  std::string Http;   ///< Callers, announcements, health and metrics.
+  std::string Listen; ///< Address for the internal protocol.
+  std::string Http;   ///< Address for callers, announcements, health, metrics.
   std::vector<std::string> Control;
   std::string KeySalt;
   LogLevel Level = LogLevel::Info;
--- a/core/time.h
+++ b/core/time.h
@@ -1,6 +1,6 @@
 /// \file
-/// Time types. Decisions receive the current time as an argument and store
-/// deadlines; nothing below the actors reads a clock.
+/// Time types. State machines receive the current time as an argument and store
+/// deadlines; only the actors and shells around them read a clock.
 #ifndef SASSAFRAS_CORE_TIME_H
 #define SASSAFRAS_CORE_TIME_H
 
@@ -10,15 +10,15 @@
 
 namespace sassafras {
 
-/// Time since the host booted, suspension included: a lease must not look
-/// fresh to a process whose host was suspended meanwhile, which the steady
-/// clock of the library would allow.
+/// Time since the host booted, including time in suspension. A lease must not
+/// seem valid to a process whose host was suspended in the meantime;
+/// std::chrono::steady_clock stops during suspension and would allow this.
 struct Clock {
   using duration = std::chrono::nanoseconds;
   using rep = duration::rep;
   using period = duration::period;
   using time_point = std::chrono::time_point<Clock>;
-  static constexpr bool is_steady = true; // NOLINT: name of the standard.
+  static constexpr bool is_steady = true; // NOLINT: standard name.
 
   /// Thread safe.
   static time_point now() noexcept {
@@ -32,13 +32,13 @@
 using TimePoint = Clock::time_point;
 using Millis = std::chrono::milliseconds;
 
-/// Whole milliseconds of \p Span, negative spans counted as zero.
-inline uint64_t toMillis(Clock::duration Span) {
-  auto n = std::chrono::duration_cast<Millis>(Span).count();
+/// \p Duration in whole milliseconds; 0 when it is negative.
+inline uint64_t toMillis(Clock::duration Duration) {
+  auto n = std::chrono::duration_cast<Millis>(Duration).count();
   return n < 0 ? 0 : static_cast<uint64_t>(n);
 }
 
-/// True when \p Deadline has come at \p Now.
+/// True when \p Now is at or after \p Deadline.
 inline bool isPast(TimePoint Deadline, TimePoint Now) {
   return Now >= Deadline;
 }
--- a/core/timing.h
+++ b/core/timing.h
@@ -1,6 +1,6 @@
 /// \file
-/// Periods and bounds that the roles share. docs/design/02-timing.md adds
-/// them up against the promised bounds.
+/// Periods and time-outs shared by the roles. docs/design/02-timing.md adds
+/// them up and compares the sums with the guaranteed bounds.
 #ifndef SASSAFRAS_CORE_TIMING_H
 #define SASSAFRAS_CORE_TIMING_H
 
@@ -8,15 +8,17 @@
 
 namespace sassafras::timing {
 
-/// Replication: leader to followers.
+/// Period of the leader's append messages to its followers.
 inline constexpr Millis AppendPeriod{250};
-/// The leader acts only this long after it sent a round that a quorum answered.
+/// Leader lease: the leader acts as such only this long after it sent a round
+/// of appends that a quorum acknowledged.
 inline constexpr Millis LeaderLease{1200};
-/// A voter that heard from a leader refuses other candidates for this long.
+/// Bounds of the randomised election timeout. A voter that has heard from a
+/// leader rejects other candidates for the lower bound.
 inline constexpr Millis ElectionTimeoutMin{1500};
 inline constexpr Millis ElectionTimeoutMax{2200};
 
-/// Periods of one replicated group.
+/// Timing of one replicated group.
 struct GroupTiming {
   Millis Append = AppendPeriod;
   Millis Lease = LeaderLease;
@@ -24,30 +26,33 @@
   Millis MaxElectionTimeout = ElectionTimeoutMax;
 };
 
-/// Groups whose members are a few milliseconds apart and whose leader is
-/// missed at once: a new one within a second, and still six appends lost in a
-/// row before a vote.
+/// For groups whose members are a few milliseconds apart and cannot do without
+/// a leader for long: a new one is elected within a second, and still six
+/// consecutive appends must be lost before an election.
 inline constexpr GroupTiming LowLatencyGroup{Millis(100), Millis(450),
                                              Millis(600), Millis(900)};
 
-/// Nodes to the control leader.
+/// Period of a node's heartbeats to the control leader.
 inline constexpr Millis HeartbeatPeriod{500};
-/// A key view counts this long from the sending of the answered heartbeat.
+/// A node's view of the keys is valid this long after the node sent the
+/// heartbeat that was acknowledged.
 inline constexpr Millis ViewLease{3000};
-/// A running answer for a keyed caller outlasts the view's lease by this.
+/// A response in progress to a caller with a key may continue this long after
+/// the view's lease has expired.
 inline constexpr Millis ResponseGrace{1500};
-/// An endpoint takes work this long after its last known sign of life.
+/// An endpoint is given work this long after it was last heard from.
 inline constexpr Millis EndpointLease{2000};
-/// The control leader writes an endpoint off after this silence.
+/// The control leader removes an endpoint that has been silent this long.
 inline constexpr Millis EndpointRemovalTimeout{8000};
 
-/// Life of a grant of tokens at the entry, from the sending of its request.
+/// Lifetime of a token grant at the entry, counted from when its request was
+/// sent.
 inline constexpr Millis GrantLifetime{2000};
-/// The giver counts a grant as outstanding for this long.
+/// The issuer counts a grant as outstanding this long.
 inline constexpr Millis GrantLifetimeAtIssuer{2300};
 inline constexpr Millis GrantRetry{200};
 
-/// A proposal or claim is sent again after this silence.
+/// A proposal or claim that got no reply is sent again after this time.
 inline constexpr Millis ProposalRetry{400};
 
 } // namespace sassafras::timing
