--- a/http/address.cpp
+++ b/http/address.cpp
@@ -24,12 +24,12 @@
   return address;
 }
 
-std::string replacePort(std::string_view Host, std::string_view Own) {
-  auto host = parseAddress(Host);
-  auto own = parseAddress(Own);
-  if (!host || !own)
+std::string replacePort(std::string_view Address, std::string_view PortSource) {
+  auto base = parseAddress(Address);
+  auto portSource = parseAddress(PortSource);
+  if (!base || !portSource)
     return {};
-  return host->Ip + ":" + std::to_string(own->Port);
+  return base->Ip + ":" + std::to_string(portSource->Port);
 }
 
 } // namespace sassafras
--- a/http/address.h
+++ b/http/address.h
@@ -1,5 +1,5 @@
 /// \file
-/// IP and port as settings write them.
+/// Network addresses in the form used in settings.
 #ifndef SASSAFRAS_HTTP_ADDRESS_H
 #define SASSAFRAS_HTTP_ADDRESS_H
 
@@ -15,12 +15,14 @@
   uint16_t Port = 0;
 };
 
-/// Reads `IP:port`; nothing when it is not one. Thread safe.
+/// Parses `IP:port`. Returns nullopt when \p Text has another form. Thread
+/// safe.
 std::optional<NetAddress> parseAddress(std::string_view Text);
 
-/// Address of the host in \p Host at the port of \p Own; empty when either is
-/// not an address. Nodes listen at the same ports on all hosts. Thread safe.
-std::string replacePort(std::string_view Host, std::string_view Own);
+/// Returns \p Address with the port of \p PortSource, or an empty string when
+/// either is not an address. Used to derive the address of another node, since
+/// nodes listen at the same ports on all hosts. Thread safe.
+std::string replacePort(std::string_view Address, std::string_view PortSource);
 
 } // namespace sassafras
 
--- a/http/client.cpp
+++ b/http/client.cpp
@@ -25,18 +25,18 @@
 namespace http = boost::beast::http;
 using Tcp = asio::ip::tcp;
 
-constexpr Millis ConnectLimit{3'000};
-/// Unacknowledged bytes end a connection after this: the peer or the path is
-/// gone, and no reset tells of it.
+constexpr Millis DefaultConnectTimeout{3'000};
+/// Bytes that stay unacknowledged this long end a connection: the peer or the
+/// network path has failed without a reset.
 constexpr int UserTimeoutMs = 2'500;
-/// Head of an answer, in bytes.
-constexpr uint32_t HeadLimit = 64 * 1024;
-/// Answers without a Keep-Alive field: how long a connection is kept.
-constexpr Millis DefaultIdle{4'000};
-/// A kept connection is given up this long before the peer would close it.
+/// Largest status line and header of a response, in bytes.
+constexpr uint32_t MaxHeadBytes = 64 * 1024;
+/// Time an idle connection is kept if the response has no Keep-Alive field.
+constexpr Millis DefaultIdleTimeout{4'000};
+/// A pooled connection is closed this long before the peer would close it.
 constexpr Millis IdleMargin{1'000};
-/// Piece of a body that is passed on at once, in bytes.
-constexpr size_t PieceSize = 8'192;
+/// Size of the buffer through which a body is read, in bytes.
+constexpr size_t BodyBufferSize = 8'192;
 
 struct Connection {
   explicit Connection(asio::io_context &Io) : Stream(Io) {}
@@ -50,9 +50,9 @@
 
 using ConnectionPtr = std::unique_ptr<Connection>;
 
-/// True when nothing has come in on an idle connection: neither its end nor
-/// bytes that belong to no request.
-bool isQuiet(Connection &Idle) {
+/// True when an idle connection is still usable: the peer has neither closed it
+/// nor sent bytes that belong to no request.
+bool isUsable(Connection &Idle) {
   char buf = 0;
   ssize_t n = ::recv(Idle.Stream.socket().native_handle(), &buf, 1,
                      MSG_PEEK | MSG_DONTWAIT);
@@ -71,21 +71,21 @@
 struct HttpClient::Impl {
   Impl(asio::io_context &Io, Metrics *Counts) : Io(Io), Counts(Counts) {}
 
-  ConnectionPtr takeIdle(const std::string &Address, Millis MostIdle);
-  void keep(ConnectionPtr Idle);
+  ConnectionPtr takeIdle(const std::string &Address, Millis MaxIdle);
+  void release(ConnectionPtr Idle);
   void count(const std::string &Name) {
     if (Counts)
       Counts->count(Name);
   }
 
   asio::io_context &Io;
-  Metrics *Counts; ///< Absent for single exchanges.
-  bool KeepsConnections = true;
+  Metrics *Counts; ///< Null for single exchanges.
+  bool PoolsConnections = true;
   std::map<std::string, std::vector<ConnectionPtr>> Idle;
 };
 
 ConnectionPtr HttpClient::Impl::takeIdle(const std::string &Address,
-                                         Millis MostIdle) {
+                                         Millis MaxIdle) {
   auto found = Idle.find(Address);
   if (found == Idle.end())
     return nullptr;
@@ -94,15 +94,15 @@
   while (!list.empty()) {
     ConnectionPtr last = std::move(list.back());
     list.pop_back();
-    if (now < last->IdleEnd && now - last->IdleSince < MostIdle &&
-        isQuiet(*last))
+    if (now < last->IdleEnd && now - last->IdleSince < MaxIdle &&
+        isUsable(*last))
       return last;
     count("client_idle_closed_total");
   }
   return nullptr;
 }
 
-void HttpClient::Impl::keep(ConnectionPtr Done) {
+void HttpClient::Impl::release(ConnectionPtr Done) {
   Done->IdleSince = Clock::now();
   Idle[Done->Address].push_back(std::move(Done));
 }
@@ -112,34 +112,35 @@
 class Call : public HttpCall, public std::enable_shared_from_this<Call> {
 public:
   Call(std::shared_ptr<HttpClient::Impl> Client, HttpCallOptions Options,
-       HttpCallbacks Calls)
-      : Client(std::move(Client)), Options(Options), Calls(std::move(Calls)) {
+       HttpCallbacks Callbacks)
+      : Client(std::move(Client)), Options(Options),
+        Callbacks(std::move(Callbacks)) {
     Parser.body_limit(std::numeric_limits<uint64_t>::max());
-    Parser.header_limit(HeadLimit);
+    Parser.header_limit(MaxHeadBytes);
   }
 
   void start(const std::string &Address, const HttpRequest &Request) {
-    fill(Address, Request);
+    buildMessage(Address, Request);
     Parser.skip(Request.Method == "HEAD");
-    Link = Client->takeIdle(Address, Options.MostIdle);
-    if (Link) {
+    Conn = Client->takeIdle(Address, Options.MaxIdle);
+    if (Conn) {
       Client->count("client_reused_total");
       asio::post(Client->Io, [self = shared_from_this()] { self->exchange(); });
       return;
     }
     Client->count("client_connects_total");
-    Link = std::make_unique<Connection>(Client->Io);
-    Link->Address = Address;
+    Conn = std::make_unique<Connection>(Client->Io);
+    Conn->Address = Address;
     connect(Address);
   }
 
   void cancel() override {
-    IsOver = true;
+    IsFinished = true;
     close();
   }
 
 private:
-  void fill(const std::string &Address, const HttpRequest &Request) {
+  void buildMessage(const std::string &Address, const HttpRequest &Request) {
     Message.method_string(Request.Method);
     Message.target(Request.Target);
     Message.version(11);
@@ -149,7 +150,7 @@
         Message.set(http::field::host, it.Value);
       else if (!isHopByHopField(it.Name))
         Message.insert(it.Name, it.Value);
-    Message.keep_alive(Client->KeepsConnections);
+    Message.keep_alive(Client->PoolsConnections);
     Message.body() = Request.Body;
     Message.prepare_payload();
   }
@@ -167,54 +168,55 @@
       });
       return;
     }
-    Link->Stream.expires_after(Options.Connect);
-    Link->Stream.async_connect(
+    Conn->Stream.expires_after(Options.ConnectTimeout);
+    Conn->Stream.async_connect(
         endpoint, [self = shared_from_this()](beast::error_code ec) {
           if (ec)
             self->fail({false, ec == asio::error::connection_refused,
                         ec == beast::error::timeout});
           else
-            self->prepare();
+            self->setSocketOptions();
         });
   }
 
-  void prepare() {
-    if (IsOver)
+  void setSocketOptions() {
+    if (IsFinished)
       return;
     boost::system::error_code ignored;
-    Link->Stream.socket().set_option(Tcp::no_delay(true), ignored);
-    ::setsockopt(Link->Stream.socket().native_handle(), IPPROTO_TCP,
+    Conn->Stream.socket().set_option(Tcp::no_delay(true), ignored);
+    ::setsockopt(Conn->Stream.socket().native_handle(), IPPROTO_TCP,
                  TCP_USER_TIMEOUT, &UserTimeoutMs, sizeof UserTimeoutMs);
     exchange();
   }
 
-  /// Reads while it writes: an answer may come before the whole request was
-  /// taken.
+  /// Reads and writes at the same time, since a response may arrive before the
+  /// whole request has been sent.
   void exchange() {
-    if (IsOver)
+    if (IsFinished)
       return;
-    Link->Stream.expires_after(Options.Silence);
+    Conn->Stream.expires_after(Options.ReadTimeout);
     http::async_write(
-        Link->Stream, Message,
+        Conn->Stream, Message,
         [self = shared_from_this()](beast::error_code ec, size_t) {
-          self->IsWritten = !ec;
-          self->endIfComplete();
+          self->IsRequestSent = !ec;
+          self->finishIfComplete();
         });
     http::async_read_header(
-        Link->Stream, Link->Buffer, Parser,
+        Conn->Stream, Conn->Buffer, Parser,
         [self = shared_from_this()](beast::error_code ec, size_t) {
           if (ec)
             self->fail({true, false, ec == beast::error::timeout});
           else
-            self->takeHead();
+            self->handleHead();
         });
   }
 
-  void takeHead() {
-    if (IsOver)
+  void handleHead() {
+    if (IsFinished)
       return;
     const auto &message = Parser.get();
-    // Informational answers precede the real one.
+    // An informational response (1xx) would precede the final one; it is not
+    // supported and fails the exchange.
     if (message.result_int() < 200) {
       fail({true, false, false});
       return;
@@ -226,15 +228,15 @@
           {lowerCase(it.name_string()), std::string(it.value())});
     if (Parser.content_length())
       head.Length = *Parser.content_length();
-    IsKept = message.keep_alive() && !Parser.need_eof();
-    readKeepAlive(message[http::field::keep_alive]);
-    Calls.OnHead(std::move(head));
+    IsKeptAlive = message.keep_alive() && !Parser.need_eof();
+    parseKeepAlive(message[http::field::keep_alive]);
+    Callbacks.OnHead(std::move(head));
     readBody();
   }
 
-  void readKeepAlive(std::string_view Value) {
+  void parseKeepAlive(std::string_view Value) {
     constexpr std::string_view Key = "timeout=";
-    Millis idle = DefaultIdle;
+    Millis idle = DefaultIdleTimeout;
     size_t at = Value.find(Key);
     if (at != std::string_view::npos)
       idle = std::chrono::seconds(std::strtoul(
@@ -243,29 +245,29 @@
   }
 
   void readBody() {
-    if (IsOver)
+    if (IsFinished)
       return;
     if (Parser.is_done()) {
-      IsRead = true;
-      endIfComplete();
+      IsResponseRead = true;
+      finishIfComplete();
       return;
     }
-    Parser.get().body().data = Piece.data();
-    Parser.get().body().size = Piece.size();
-    Link->Stream.expires_after(Options.Silence);
+    Parser.get().body().data = BodyBuffer.data();
+    Parser.get().body().size = BodyBuffer.size();
+    Conn->Stream.expires_after(Options.ReadTimeout);
     http::async_read_some(
-        Link->Stream, Link->Buffer, Parser,
+        Conn->Stream, Conn->Buffer, Parser,
         [self = shared_from_this()](beast::error_code ec, size_t) {
-          self->takeBody(ec);
+          self->handleBody(ec);
         });
   }
 
-  void takeBody(beast::error_code Error) {
-    if (IsOver)
+  void handleBody(beast::error_code Error) {
+    if (IsFinished)
       return;
-    size_t n = Piece.size() - Parser.get().body().size;
+    size_t n = BodyBuffer.size() - Parser.get().body().size;
     if (n > 0)
-      Calls.OnBody(std::string_view(Piece.data(), n));
+      Callbacks.OnBody(std::string_view(BodyBuffer.data(), n));
     if (Error && Error != http::error::need_buffer) {
       fail({true, false, Error == beast::error::timeout});
       return;
@@ -273,49 +275,50 @@
     readBody();
   }
 
-  /// The whole answer counts even if the request could not be written to its
-  /// end; only the connection is lost then.
-  void endIfComplete() {
-    if (IsOver || !IsRead)
+  /// A complete response is delivered even if the request could not be sent
+  /// completely; only the connection is not reused then.
+  void finishIfComplete() {
+    if (IsFinished || !IsResponseRead)
       return;
-    IsOver = true;
-    bool isReusable = IsKept && IsWritten && Client->KeepsConnections &&
-                      Link->Buffer.size() == 0 && KeepFor.count() > 0;
+    IsFinished = true;
+    bool isReusable = IsKeptAlive && IsRequestSent &&
+                      Client->PoolsConnections && Conn->Buffer.size() == 0 &&
+                      KeepFor.count() > 0;
     if (isReusable) {
-      Link->Stream.expires_never();
-      Link->IdleEnd = Clock::now() + KeepFor;
-      Client->keep(std::move(Link));
+      Conn->Stream.expires_never();
+      Conn->IdleEnd = Clock::now() + KeepFor;
+      Client->release(std::move(Conn));
     } else {
       close();
     }
-    Calls.OnEnd();
+    Callbacks.OnEnd();
   }
 
   void close() {
-    if (Link)
-      Link->Stream.close();
+    if (Conn)
+      Conn->Stream.close();
   }
 
-  void fail(HttpFailure Break) {
-    if (IsOver)
+  void fail(HttpFailure Failure) {
+    if (IsFinished)
       return;
-    IsOver = true;
+    IsFinished = true;
     close();
-    Calls.OnFailure(Break);
+    Callbacks.OnFailure(Failure);
   }
 
   std::shared_ptr<HttpClient::Impl> Client;
   HttpCallOptions Options;
-  HttpCallbacks Calls;
-  ConnectionPtr Link;
+  HttpCallbacks Callbacks;
+  ConnectionPtr Conn;
   http::request<http::string_body> Message;
   http::response_parser<http::buffer_body> Parser;
-  std::array<char, PieceSize> Piece{};
+  std::array<char, BodyBufferSize> BodyBuffer{};
   Millis KeepFor{0};
-  bool IsKept = false;
-  bool IsWritten = false;
-  bool IsRead = false;
-  bool IsOver = false;
+  bool IsKeptAlive = false;
+  bool IsRequestSent = false;
+  bool IsResponseRead = false;
+  bool IsFinished = false;
 };
 
 } // namespace
@@ -328,8 +331,8 @@
 std::shared_ptr<HttpCall> HttpClient::start(const std::string &Address,
                                             const HttpRequest &Request,
                                             HttpCallOptions Options,
-                                            HttpCallbacks Calls) {
-  auto call = std::make_shared<Call>(Data, Options, std::move(Calls));
+                                            HttpCallbacks Callbacks) {
+  auto call = std::make_shared<Call>(Data, Options, std::move(Callbacks));
   call->start(Address, Request);
   return call;
 }
@@ -338,7 +341,7 @@
   TimePoint now = Clock::now();
   for (auto it = Data->Idle.begin(); it != Data->Idle.end();) {
     std::erase_if(it->second, [&](const ConnectionPtr &Kept) {
-      return now >= Kept->IdleEnd || !isQuiet(*Kept);
+      return now >= Kept->IdleEnd || !isUsable(*Kept);
     });
     it = it->second.empty() ? Data->Idle.erase(it) : std::next(it);
   }
@@ -347,12 +350,13 @@
 std::shared_ptr<HttpCall> startHttpCall(asio::io_context &Io,
                                         const std::string &Address,
                                         const HttpRequest &Request,
-                                        Millis Silence, HttpCallbacks Calls) {
+                                        Millis ReadTimeout,
+                                        HttpCallbacks Callbacks) {
   auto client = std::make_shared<HttpClient::Impl>(Io, nullptr);
-  client->KeepsConnections = false;
+  client->PoolsConnections = false;
   auto call = std::make_shared<Call>(
-      client, HttpCallOptions{ConnectLimit, Silence, Millis(0)},
-      std::move(Calls));
+      client, HttpCallOptions{DefaultConnectTimeout, ReadTimeout, Millis(0)},
+      std::move(Callbacks));
   call->start(Address, Request);
   return call;
 }
--- a/http/client.h
+++ b/http/client.h
@@ -1,6 +1,6 @@
 /// \file
-/// HTTP/1.1 exchanges as a client, with the answer passed on in pieces, over
-/// fresh or kept connections.
+/// HTTP/1.1 client with a connection pool. Response bodies are delivered in
+/// pieces as they arrive.
 #ifndef SASSAFRAS_HTTP_CLIENT_H
 #define SASSAFRAS_HTTP_CLIENT_H
 
@@ -18,18 +18,18 @@
 
 class Metrics;
 
-/// How far an exchange came before it broke.
+/// How an exchange failed.
 struct HttpFailure {
-  bool WasSent = true;    ///< The other side may have seen the request.
-  bool IsRefused = false; ///< Nobody listens at the port.
-  bool IsTimeout = false; ///< A wait ended without a sign of the other side.
+  bool WasSent = true;    ///< The server may have received the request.
+  bool IsRefused = false; ///< The connection was refused.
+  bool IsTimeout = false; ///< A time-out expired.
 };
 
-/// Head of an answer.
+/// Status and header fields of a response.
 struct HttpResponseHead {
   unsigned Status = 0;
   std::vector<HttpField> Fields;  ///< Names are lower case.
-  std::optional<uint64_t> Length; ///< Bytes of the body, where declared.
+  std::optional<uint64_t> Length; ///< Bytes of the body, if declared.
 };
 
 struct HttpCallbacks {
@@ -39,25 +39,26 @@
   std::function<void(HttpFailure)> OnFailure;
 };
 
-/// Handle of a running exchange.
+/// Handle of an exchange in progress.
 class HttpCall {
 public:
   virtual ~HttpCall() = default;
-  /// Ends it and its connection without further calls. Call on the context's
-  /// thread.
+  /// Ends the exchange and closes its connection; no callback is called
+  /// afterwards. Call on the I/O context's thread.
   virtual void cancel() = 0;
 };
 
-/// How one exchange uses its connection.
+/// Time-outs of one exchange.
 struct HttpCallOptions {
-  Millis Connect{1'000}; ///< For the connection to be made.
-  Millis Silence{};      ///< Bounds each wait for the other side.
-  /// A kept connection is taken only if it was idle for less than this.
-  Millis MostIdle{10'000};
+  Millis ConnectTimeout{1'000}; ///< For establishing a connection.
+  /// From sending the request to the response head, and for each later read.
+  Millis ReadTimeout{};
+  /// A pooled connection is used only if it was idle for less than this.
+  Millis MaxIdle{10'000};
 };
 
-/// Connections to many addresses, kept for later exchanges. All methods on
-/// the thread that runs the context.
+/// HTTP client that pools idle connections by address for later exchanges. Call
+/// all methods on the thread that runs the I/O context.
 class HttpClient {
 public:
   HttpClient(boost::asio::io_context &Io, Metrics &Counts);
@@ -65,12 +66,15 @@
   HttpClient(const HttpClient &) = delete;
   HttpClient &operator=(const HttpClient &) = delete;
 
-  /// Sends \p Request to \p Address. Exactly one of OnEnd and OnFailure is
-  /// called in the end, unless it is cancelled; never before this returns.
+  /// Sends \p Request to \p Address. Unless the exchange is cancelled, exactly
+  /// one of OnEnd and OnFailure is called, as the last callback. No callback is
+  /// called before this returns.
   std::shared_ptr<HttpCall> start(const std::string &Address,
                                   const HttpRequest &Request,
-                                  HttpCallOptions Options, HttpCallbacks Calls);
-  /// Closes kept connections whose time or peer has ended.
+                                  HttpCallOptions Options,
+                                  HttpCallbacks Callbacks);
+  /// Closes pooled connections that have expired or on which the peer has sent
+  /// data or closed its side.
   void closeExpired();
 
   struct Impl;
@@ -79,12 +83,13 @@
   std::shared_ptr<Impl> Data;
 };
 
-/// One exchange on a connection of its own, as HttpClient::start.
-/// \p Silence bounds each wait for the other side.
+/// Like HttpClient::start, but on a new connection that is closed afterwards.
+/// \p ReadTimeout is as in HttpCallOptions. Call on the thread that runs \p Io.
 std::shared_ptr<HttpCall> startHttpCall(boost::asio::io_context &Io,
                                         const std::string &Address,
                                         const HttpRequest &Request,
-                                        Millis Silence, HttpCallbacks Calls);
+                                        Millis ReadTimeout,
+                                        HttpCallbacks Callbacks);
 
 } // namespace sassafras
 
--- a/http/message.h
+++ b/http/message.h
@@ -1,5 +1,5 @@
 /// \file
-/// Plain forms of HTTP requests and addresses, free of the library's types.
+/// HTTP requests and header fields as plain structs, without Boost.Beast types.
 #ifndef SASSAFRAS_HTTP_MESSAGE_H
 #define SASSAFRAS_HTTP_MESSAGE_H
 
@@ -11,7 +11,7 @@
 
 namespace sassafras {
 
-/// Names are lower case.
+/// Header field. The name is in lower case.
 struct HttpField {
   std::string Name;
   std::string Value;
@@ -24,7 +24,7 @@
   std::string Body;
 };
 
-/// Value of the first field \p Name, or empty.
+/// Value of the first field called \p Name, or an empty string.
 inline std::string_view fieldOf(const std::vector<HttpField> &Fields,
                                 std::string_view Name) {
   for (const HttpField &it : Fields)
@@ -33,13 +33,15 @@
   return {};
 }
 
-/// True for fields that concern one connection only.
+/// True for fields that must not be forwarded to the next connection:
+/// hop-by-hop fields, and content-length, expect and host, which are set anew
+/// there.
 bool isHopByHopField(std::string_view Name);
 
 /// Removes every field called \p Name.
 void eraseField(std::vector<HttpField> &Fields, std::string_view Name);
 
-/// Puts \p Value in place of all fields called \p Name.
+/// Replaces all fields called \p Name with one of value \p Value.
 void setField(std::vector<HttpField> &Fields, std::string_view Name,
               std::string Value);
 
