--- a/http/server.cpp
+++ b/http/server.cpp
@@ -29,12 +29,13 @@
 namespace http = boost::beast::http;
 using Tcp = asio::ip::tcp;
 
-constexpr std::chrono::seconds WriteLimit{30};
-/// A caller whose host has vanished is noticed after this silence; covers
-/// some lost packets at the platform's delays.
+constexpr std::chrono::seconds WriteTimeout{30};
+/// A connection is closed when sent bytes stay unacknowledged this long, as
+/// they do when the caller's host has failed. Allows for a few lost packets at
+/// the network delays of the platform.
 constexpr int UserTimeoutMs = 10'000;
-constexpr size_t ReadChunk = 4096;
-constexpr Millis AcceptPause{100};
+constexpr size_t ReadBufferSize = 4096;
+constexpr Millis AcceptRetryDelay{100};
 
 std::string lowerCase(std::string_view Text) {
   std::string out(Text);
@@ -43,7 +44,7 @@
   return out;
 }
 
-std::string frameChunk(const std::string &Bytes) {
+std::string encodeChunk(const std::string &Bytes) {
   return beast::buffers_to_string(http::make_chunk(asio::buffer(Bytes)));
 }
 
@@ -72,9 +73,9 @@
 
 struct HttpServer::Impl : std::enable_shared_from_this<HttpServer::Impl> {
   Impl(asio::io_context &Io, std::string Listen, HttpLimits Limits,
-       Metrics &Counts, Handlers Calls)
+       Metrics &Counts, Handlers Callbacks)
       : Io(Io), Listen(std::move(Listen)), Limits(Limits), Counts(Counts),
-        Calls(std::move(Calls)), Acceptor(Io), Pause(Io) {}
+        Callbacks(std::move(Callbacks)), Acceptor(Io), AcceptRetryTimer(Io) {}
 
   void accept();
 
@@ -82,18 +83,18 @@
   std::string Listen;
   HttpLimits Limits;
   Metrics &Counts;
-  Handlers Calls;
+  Handlers Callbacks;
   std::string Address;
   Tcp::acceptor Acceptor;
-  asio::steady_timer Pause;
-  std::set<Session *> Idle; ///< Connections that wait for a request.
+  asio::steady_timer AcceptRetryTimer;
+  std::set<Session *> Idle; ///< Connections waiting for a request.
   std::atomic<size_t> OpenCount{0};
   std::atomic<bool> IsStopping{false};
-  std::atomic<bool> IsWindingDown{false};
+  std::atomic<bool> IsDraining{false};
 };
 
-/// One connection. Everything but the exchange's entry points runs on the
-/// context's thread.
+/// One connection. Everything except the methods that SessionExchange calls
+/// runs on the I/O context's thread.
 class Session : public std::enable_shared_from_this<Session> {
 public:
   Session(Tcp::socket Socket, std::shared_ptr<HttpServer::Impl> Server)
@@ -102,28 +103,28 @@
 
   void waitForRequest();
   void closeIdle() { Stream.close(); }
-  void queue(uint64_t Number, std::string Bytes, bool IsLast);
-  void abort(uint64_t Number);
+  void queue(uint64_t RequestNumber, std::string Bytes, bool IsEnd);
+  void abort(uint64_t RequestNumber);
   asio::io_context &context() { return Server->Io; }
-  bool isOldProtocol() const { return IsOld; }
+  bool isHttp10() const { return IsHttp10; }
   bool keepsAlive() const {
-    return KeepAlive && !Server->IsStopping && !Server->IsWindingDown;
+    return KeepAlive && !Server->IsStopping && !Server->IsDraining;
   }
-  void closeAfter() { KeepAlive = false; }
+  void closeAfterResponse() { KeepAlive = false; }
   HttpLimits limits() const { return Server->Limits; }
 
 private:
   void readHead();
   void readBody();
-  bool isAmbiguous() const;
-  void serve();
-  void watchCaller();
-  bool isCallerGone();
-  void refuse(http::status Status, const char *Reason);
+  bool hasAmbiguousFraming() const;
+  void dispatchRequest();
+  void watchForDisconnect();
+  bool isDisconnected();
+  void rejectRequest(http::status Status, const char *Reason);
   void writeNext();
-  void endAnswer();
-  void breakConnection();
-  void lose(HttpLoss Loss);
+  void finishResponse();
+  void abortConnection();
+  void handleLoss(HttpLoss Loss);
 
   beast::tcp_stream Stream;
   std::shared_ptr<HttpServer::Impl> Server;
@@ -131,12 +132,12 @@
   std::optional<http::request_parser<http::string_body>> Parser;
   std::deque<std::string> Output;
   size_t OutputBytes = 0;
-  uint64_t Number = 0; ///< Of the request being answered.
-  bool IsAnswering = false;
-  bool IsLastQueued = false;
+  uint64_t RequestNumber = 0; ///< Number of the current request.
+  bool IsResponding = false;
+  bool IsEndQueued = false;
   bool IsAborting = false;
   bool IsWriting = false;
-  bool IsOld = false;
+  bool IsHttp10 = false;
   bool KeepAlive = false;
   bool IsHeadRequest = false;
   std::weak_ptr<HttpExchange> Exchange;
@@ -147,10 +148,10 @@
 class SessionExchange : public HttpExchange,
                         public std::enable_shared_from_this<SessionExchange> {
 public:
-  SessionExchange(std::shared_ptr<Session> Owner, uint64_t Number, bool IsOld,
-                  bool KeepAlive, bool IsHead)
-      : Owner(std::move(Owner)), Number(Number), IsOld(IsOld),
-        KeepAlive(KeepAlive), IsHead(IsHead) {}
+  SessionExchange(std::shared_ptr<Session> Owner, uint64_t RequestNumber,
+                  bool IsHttp10, bool KeepAlive, bool IsHead)
+      : Owner(std::move(Owner)), RequestNumber(RequestNumber),
+        IsHttp10(IsHttp10), KeepAlive(KeepAlive), IsHead(IsHead) {}
 
   void respond(unsigned Status, std::vector<HttpField> Fields,
                std::string Body) override {
@@ -165,10 +166,10 @@
   void start(unsigned Status, std::vector<HttpField> Fields,
              std::optional<uint64_t> Length) override {
     auto head = makeHead(Status, Fields);
-    IsChunked = !Length && !IsOld;
+    IsChunked = !Length && !IsHttp10;
     if (Length)
       head.content_length(*Length);
-    else if (IsOld)
+    else if (IsHttp10)
       head.keep_alive(false);
     else
       head.chunked(true);
@@ -178,28 +179,29 @@
   void write(std::string Bytes) override {
     if (Bytes.empty() || IsHead)
       return;
-    send(IsChunked ? frameChunk(Bytes) : std::move(Bytes), false);
+    send(IsChunked ? encodeChunk(Bytes) : std::move(Bytes), false);
   }
 
   void finish() override {
     send(IsChunked && !IsHead ? "0\r\n\r\n" : "", true);
   }
 
-  void closeAfter() override {
+  void closeAfterResponse() override {
     KeepAlive = false;
-    Owner->closeAfter();
+    Owner->closeAfterResponse();
   }
 
   void abort() override {
-    asio::post(Owner->context(),
-               [owner = Owner, number = Number] { owner->abort(number); });
+    asio::post(Owner->context(), [owner = Owner, number = RequestNumber] {
+      owner->abort(number);
+    });
   }
 
 private:
   http::response<http::empty_body>
   makeHead(unsigned Status, const std::vector<HttpField> &Fields) const {
     http::response<http::empty_body> head;
-    head.version(IsOld ? 10 : 11);
+    head.version(IsHttp10 ? 10 : 11);
     head.result(Status);
     for (const HttpField &it : Fields)
       if (!isHopByHopField(it.Name))
@@ -222,17 +224,17 @@
     return out.str();
   }
 
-  void send(std::string Bytes, bool IsLast) {
-    // Runs at once when the caller is on the context's thread already.
+  void send(std::string Bytes, bool IsEnd) {
+    // Runs immediately when called on the I/O context's thread.
     asio::dispatch(
         Owner->context(),
-        [owner = Owner, number = Number, bytes = std::move(Bytes),
-         IsLast]() mutable { owner->queue(number, std::move(bytes), IsLast); });
+        [owner = Owner, number = RequestNumber, bytes = std::move(Bytes),
+         IsEnd]() mutable { owner->queue(number, std::move(bytes), IsEnd); });
   }
 
   std::shared_ptr<Session> Owner;
-  uint64_t Number;
-  bool IsOld;
+  uint64_t RequestNumber;
+  bool IsHttp10;
   bool KeepAlive;
   bool IsHead;
   bool IsChunked = false;
@@ -252,7 +254,7 @@
   Server->Idle.insert(this);
   Stream.expires_after(Server->Limits.IdleTimeout);
   Stream.async_read_some(
-      Buffer.prepare(ReadChunk),
+      Buffer.prepare(ReadBufferSize),
       [self = shared_from_this()](beast::error_code ec, size_t n) {
         self->Server->Idle.erase(self.get());
         if (ec) {
@@ -275,24 +277,25 @@
         if (ec == http::error::end_of_stream) {
           self->Stream.close();
         } else if (ec == http::error::header_limit) {
-          self->refuse(http::status::request_header_fields_too_large,
-                       "header_too_large");
+          self->rejectRequest(http::status::request_header_fields_too_large,
+                              "header_too_large");
         } else if (ec == http::error::body_limit) {
-          self->refuse(http::status::payload_too_large, "body_too_large");
+          self->rejectRequest(http::status::payload_too_large,
+                              "body_too_large");
         } else if (ec == beast::error::timeout) {
           self->Server->Counts.count("http_timeouts_total", "part=\"head\"");
           self->Stream.close();
         } else if (ec) {
-          self->refuse(http::status::bad_request, "bad_request");
+          self->rejectRequest(http::status::bad_request, "bad_request");
         } else {
           self->readBody();
         }
       });
 }
 
-/// True when another reader of the same bytes might see other bounds of the
-/// request, or another host.
-bool Session::isAmbiguous() const {
+/// True when another HTTP parser might find a different end of the request, or
+/// a different host, in the same bytes (request smuggling).
+bool Session::hasAmbiguousFraming() const {
   const auto &message = Parser->get();
   auto codings = message.equal_range(http::field::transfer_encoding);
   bool hasCoding = codings.first != codings.second;
@@ -306,14 +309,14 @@
 }
 
 void Session::readBody() {
-  if (isAmbiguous()) {
-    refuse(http::status::bad_request, "ambiguous_framing");
+  if (hasAmbiguousFraming()) {
+    rejectRequest(http::status::bad_request, "ambiguous_framing");
     return;
   }
   auto expect = Parser->get()[http::field::expect];
   bool wantsContinue = beast::iequals(expect, "100-continue");
   if (!expect.empty() && !wantsContinue) {
-    refuse(http::status::expectation_failed, "bad_expectation");
+    rejectRequest(http::status::expectation_failed, "bad_expectation");
     return;
   }
   auto read = [self = shared_from_this()] {
@@ -322,13 +325,14 @@
         self->Stream, self->Buffer, *self->Parser,
         [self](beast::error_code ec, size_t) {
           if (ec == http::error::body_limit)
-            self->refuse(http::status::payload_too_large, "body_too_large");
+            self->rejectRequest(http::status::payload_too_large,
+                                "body_too_large");
           else if (ec == beast::error::timeout)
-            self->refuse(http::status::request_timeout, "body_too_slow");
+            self->rejectRequest(http::status::request_timeout, "body_too_slow");
           else if (ec)
-            self->refuse(http::status::bad_request, "bad_request");
+            self->rejectRequest(http::status::bad_request, "bad_request");
           else
-            self->serve();
+            self->dispatchRequest();
         });
   };
   if (!wantsContinue || Parser->is_done()) {
@@ -343,7 +347,7 @@
                     });
 }
 
-void Session::serve() {
+void Session::dispatchRequest() {
   const auto &message = Parser->get();
   HttpRequest request;
   request.Method = std::string(message.method_string());
@@ -351,54 +355,55 @@
   for (const auto &it : message)
     request.Fields.push_back(
         {lowerCase(it.name_string()), std::string(it.value())});
-  IsOld = message.version() < 11;
+  IsHttp10 = message.version() < 11;
   KeepAlive = message.keep_alive();
   IsHeadRequest = message.method() == http::verb::head;
   request.Body = std::move(Parser->get().body());
-  ++Number;
-  IsAnswering = true;
-  IsLastQueued = false;
+  ++RequestNumber;
+  IsResponding = true;
+  IsEndQueued = false;
   ++Server->OpenCount;
   auto exchange = std::make_shared<SessionExchange>(
-      shared_from_this(), Number, IsOld, KeepAlive, IsHeadRequest);
+      shared_from_this(), RequestNumber, IsHttp10, KeepAlive, IsHeadRequest);
   Exchange = exchange;
   Stream.expires_never();
   Server->Counts.count("http_requests_total");
-  watchCaller();
-  Server->Calls.OnRequest(std::move(request), std::move(exchange));
+  watchForDisconnect();
+  Server->Callbacks.OnRequest(std::move(request), std::move(exchange));
 }
 
-/// Notices a caller that closes while its answer is made.
-void Session::watchCaller() {
+/// Detects a caller that disconnects before its response is complete.
+void Session::watchForDisconnect() {
   if (!Server->Limits.CancelsOnDisconnect || Buffer.size() > 0)
     return;
   Stream.socket().async_wait(
-      Tcp::socket::wait_read,
-      [self = shared_from_this(), number = Number](beast::error_code ec) {
-        if (ec || number != self->Number || !self->IsAnswering)
+      Tcp::socket::wait_read, [self = shared_from_this(),
+                               number = RequestNumber](beast::error_code ec) {
+        if (ec || number != self->RequestNumber || !self->IsResponding)
           return;
-        if (self->isCallerGone())
-          self->lose(HttpLoss::CallerGone);
+        if (self->isDisconnected())
+          self->handleLoss(HttpLoss::CallerGone);
       });
 }
 
-bool Session::isCallerGone() {
+bool Session::isDisconnected() {
   char buf = 0;
   ssize_t n =
       ::recv(Stream.socket().native_handle(), &buf, 1, MSG_PEEK | MSG_DONTWAIT);
   return n == 0 || (n < 0 && errno != EAGAIN && errno != EINTR);
 }
 
-void Session::refuse(http::status Status, const char *Reason) {
+void Session::rejectRequest(http::status Status, const char *Reason) {
   Server->Counts.count("refusals_total",
                        "reason=\"" + std::string(Reason) + "\"");
-  // The rest of a bad request cannot be told from a next one.
+  // The rest of a malformed request cannot be told apart from a next request.
   KeepAlive = false;
-  ++Number;
-  IsAnswering = true;
-  IsLastQueued = false;
+  ++RequestNumber;
+  IsResponding = true;
+  IsEndQueued = false;
   ++Server->OpenCount;
-  SessionExchange exchange(shared_from_this(), Number, false, false, false);
+  SessionExchange exchange(shared_from_this(), RequestNumber, false, false,
+                           false);
   exchange.respond(static_cast<unsigned>(Status),
                    {{"content-type", "application/json"}},
                    R"({"error":{"reason":")" + std::string(Reason) +
@@ -406,16 +411,16 @@
                        "\n");
 }
 
-void Session::queue(uint64_t For, std::string Bytes, bool IsLast) {
-  if (For != Number || !IsAnswering || IsLastQueued)
+void Session::queue(uint64_t Number, std::string Bytes, bool IsEnd) {
+  if (Number != RequestNumber || !IsResponding || IsEndQueued)
     return;
-  IsLastQueued = IsLast;
+  IsEndQueued = IsEnd;
   if (!Bytes.empty()) {
     OutputBytes += Bytes.size();
     Output.push_back(std::move(Bytes));
   }
-  if (OutputBytes > Server->Limits.UnreadBytes && !IsLast) {
-    lose(HttpLoss::SlowReader);
+  if (OutputBytes > Server->Limits.MaxUnsentBytes && !IsEnd) {
+    handleLoss(HttpLoss::SlowReader);
     return;
   }
   if (!IsWriting)
@@ -425,22 +430,22 @@
 void Session::writeNext() {
   if (Output.empty()) {
     if (IsAborting)
-      breakConnection();
-    else if (IsLastQueued)
-      endAnswer();
+      abortConnection();
+    else if (IsEndQueued)
+      finishResponse();
     return;
   }
   IsWriting = true;
-  Stream.expires_after(WriteLimit);
+  Stream.expires_after(WriteTimeout);
   asio::async_write(
       Stream, asio::buffer(Output.front()),
       [self = shared_from_this()](beast::error_code ec, size_t n) {
         self->IsWriting = false;
-        if (!self->IsAnswering)
+        if (!self->IsResponding)
           return;
         if (ec) {
-          self->lose(ec == beast::error::timeout ? HttpLoss::SlowReader
-                                                 : HttpLoss::CallerGone);
+          self->handleLoss(ec == beast::error::timeout ? HttpLoss::SlowReader
+                                                       : HttpLoss::CallerGone);
           return;
         }
         self->Stream.expires_never();
@@ -450,8 +455,8 @@
       });
 }
 
-void Session::endAnswer() {
-  IsAnswering = false;
+void Session::finishResponse() {
+  IsResponding = false;
   --Server->OpenCount;
   if (keepsAlive()) {
     waitForRequest();
@@ -462,34 +467,34 @@
   Stream.close();
 }
 
-void Session::lose(HttpLoss Loss) {
-  IsAnswering = false;
+void Session::handleLoss(HttpLoss Loss) {
+  IsResponding = false;
   --Server->OpenCount;
   Output.clear();
   OutputBytes = 0;
   Stream.close();
   Server->Counts.count("http_lost_total");
   if (auto exchange = Exchange.lock())
-    Server->Calls.OnLoss(exchange.get(), Loss);
+    Server->Callbacks.OnLoss(exchange.get(), Loss);
 }
 
-void Session::abort(uint64_t For) {
-  if (For != Number || !IsAnswering || IsLastQueued)
+void Session::abort(uint64_t Number) {
+  if (Number != RequestNumber || !IsResponding || IsEndQueued)
     return;
-  // What is queued still leaves; only the end is missing.
-  IsLastQueued = true;
+  // Queued output is still sent; only the end of the body is left out.
+  IsEndQueued = true;
   IsAborting = true;
   if (!IsWriting)
     writeNext();
 }
 
-void Session::breakConnection() {
-  IsAnswering = false;
+void Session::abortConnection() {
+  IsResponding = false;
   --Server->OpenCount;
-  // A reset makes the break visible to
-  // callers of the old protocol, whose answers end with the connection.
+  // With HTTP/1.0 the end of the connection ends the body; a reset tells the
+  // caller that the response is incomplete.
   beast::error_code ec;
-  if (IsOld)
+  if (IsHttp10)
     Stream.socket().set_option(asio::socket_base::linger(true, 0), ec);
   Stream.close();
 }
@@ -500,9 +505,9 @@
         if (self->IsStopping)
           return;
         if (ec) {
-          // Out of descriptors: wait for some to be freed.
-          self->Pause.expires_after(AcceptPause);
-          self->Pause.async_wait([self](auto) {
+          // Out of file descriptors: retry later, when some may be free.
+          self->AcceptRetryTimer.expires_after(AcceptRetryDelay);
+          self->AcceptRetryTimer.async_wait([self](auto) {
             if (!self->IsStopping)
               self->accept();
           });
@@ -518,9 +523,9 @@
 }
 
 HttpServer::HttpServer(asio::io_context &Io, std::string Listen,
-                       HttpLimits Limits, Metrics &Counts, Handlers Calls)
+                       HttpLimits Limits, Metrics &Counts, Handlers Callbacks)
     : Data(std::make_shared<Impl>(Io, std::move(Listen), Limits, Counts,
-                                  std::move(Calls))) {}
+                                  std::move(Callbacks))) {}
 
 HttpServer::~HttpServer() = default;
 
@@ -558,13 +563,13 @@
   Data->IsStopping = true;
   boost::system::error_code ec;
   Data->Acceptor.close(ec);
-  Data->Pause.cancel();
+  Data->AcceptRetryTimer.cancel();
   std::set<Session *> idle = Data->Idle;
   for (Session *it : idle)
     it->closeIdle();
 }
 
-void HttpServer::drain() { Data->IsWindingDown = true; }
+void HttpServer::drain() { Data->IsDraining = true; }
 
 void HttpServer::setLimits(const HttpLimits &Limits) { Data->Limits = Limits; }
 
--- a/http/server.h
+++ b/http/server.h
@@ -1,6 +1,6 @@
 /// \file
-/// HTTP/1.0 and 1.1 server on Boost.Beast: keep-alive, chunked bodies,
-/// limits and time-outs, answers whole or as a stream.
+/// HTTP/1.0 and 1.1 server on Boost.Beast with keep-alive, chunked bodies, size
+/// limits and time-outs. Responses are sent whole or as a stream.
 #ifndef SASSAFRAS_HTTP_SERVER_H
 #define SASSAFRAS_HTTP_SERVER_H
 
@@ -18,74 +18,77 @@
 
 class Metrics;
 
-/// Limits towards callers. Bytes.
+/// Limits on requests and connections of callers. Sizes are in bytes.
 struct HttpLimits {
   uint32_t HeadBytes = 32 * 1024;
   uint64_t BodyBytes = 8ULL * 1024 * 1024;
-  size_t UnreadBytes = 4ULL * 1024 * 1024; ///< Answer bytes not yet taken.
-  Millis HeadTimeout{10'000}; ///< For the head, from its first byte.
-  Millis BodyTimeout{30'000}; ///< For the body.
-  Millis IdleTimeout{75'000}; ///< Kept connection without a request.
-  /// A caller that closes its side is taken as gone, and the exchange is lost;
-  /// else it may still read its answer.
+  /// Bytes of a response that are queued but not sent.
+  size_t MaxUnsentBytes = 4ULL * 1024 * 1024;
+  Millis HeadTimeout{10'000}; ///< For the request head, from its first byte.
+  Millis BodyTimeout{30'000}; ///< For the request body.
+  Millis IdleTimeout{75'000}; ///< Between requests on a connection.
+  /// A caller that closes its sending side is treated as disconnected and its
+  /// exchange ends; otherwise it may still read its response.
   bool CancelsOnDisconnect = false;
 };
 
-/// One request's answer. All methods are thread safe and may be called after
-/// the caller is gone; they do nothing then.
+/// Sends the response to one request. All methods are thread safe and may be
+/// called after the caller has disconnected; they have no effect then.
 class HttpExchange {
 public:
   virtual ~HttpExchange() = default;
-  /// A whole answer.
+  /// Sends a complete response.
   virtual void respond(unsigned Status, std::vector<HttpField> Fields,
                        std::string Body) = 0;
-  /// Start of an answer in pieces. Ends with finish or abort.
-  /// With \p Length the body has exactly so many bytes.
+  /// Starts a streamed response, which finish or abort ends. With \p Length the
+  /// body has exactly that many bytes.
   virtual void start(unsigned Status, std::vector<HttpField> Fields,
                      std::optional<uint64_t> Length = std::nullopt) = 0;
   virtual void write(std::string Bytes) = 0;
   virtual void finish() = 0;
-  /// Breaks the connection so that the caller sees an incomplete answer.
+  /// Closes the connection so that the caller detects an incomplete response.
   virtual void abort() = 0;
-  /// Closes the connection once this answer is complete. Call before the
-  /// answer starts.
-  virtual void closeAfter() = 0;
+  /// Closes the connection once this response is complete. Call before the
+  /// response starts.
+  virtual void closeAfterResponse() = 0;
 };
 
-/// Why an exchange ended early.
+/// Why an exchange ended before its response was complete.
 enum class HttpLoss { CallerGone, SlowReader };
 
 class HttpServer {
 public:
   struct Handlers {
-    /// A complete request. The exchange must be answered.
+    /// A complete request has been read. The handler must respond through the
+    /// exchange.
     std::function<void(HttpRequest, std::shared_ptr<HttpExchange>)> OnRequest;
-    /// The exchange was lost before its answer was complete.
+    /// The exchange ended before its response was complete.
     std::function<void(const HttpExchange *, HttpLoss)> OnLoss;
   };
 
   /// Handlers are called on the thread that runs \p Io.
   HttpServer(boost::asio::io_context &Io, std::string Listen, HttpLimits Limits,
-             Metrics &Counts, Handlers Calls);
+             Metrics &Counts, Handlers Callbacks);
   ~HttpServer();
   HttpServer(const HttpServer &) = delete;
   HttpServer &operator=(const HttpServer &) = delete;
 
-  /// Binds and accepts. False, with the reason in \p Problem, when the
-  /// address cannot be used.
+  /// Binds the address and accepts connections. Returns false, with the reason
+  /// in \p Problem, when the address cannot be used.
   bool start(std::string &Problem);
-  /// Address with the port that was taken.
+  /// Listening address with the actual port.
   const std::string &address() const;
-  /// Takes no new connections, and closes kept ones after their answer. Call
-  /// on the thread that runs the context.
+  /// Stops accepting connections, closes idle ones, and closes the others after
+  /// their response. Call on the thread that runs the I/O context.
   void stopAccepting();
-  /// Takes new connections still, but lets each answer end its connection, so
-  /// that a balancer has time to turn elsewhere. Call on the thread that runs
-  /// the context.
+  /// Still accepts connections but closes each after its response, so that a
+  /// balancer has time to direct callers elsewhere. Call on the thread that
+  /// runs the I/O context.
   void drain();
-  /// Limits for requests read from now on. Call on that thread.
+  /// Sets the limits for requests read from now on. Call on the thread that
+  /// runs the I/O context.
   void setLimits(const HttpLimits &Limits);
-  /// Exchanges not yet written out. Thread safe.
+  /// Number of exchanges whose response is not completely written. Thread safe.
   size_t countOpenExchanges() const;
 
   struct Impl;
--- a/http/status_pages.h
+++ b/http/status_pages.h
@@ -7,8 +7,8 @@
 
 namespace sassafras {
 
-/// Answers \p Request when it is for one of the pages; false for others.
-/// Thread safe.
+/// Responds to \p Request when it is for one of the pages. Returns false,
+/// without responding, otherwise. Thread safe.
 bool serveStatusPage(const HttpRequest &Request, HttpExchange &Exchange,
                      const Metrics &Counts, bool IsReady);
 
--- a/tests/process/test_http_contract.cpp
+++ b/tests/process/test_http_contract.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Contract of the callers' HTTP, byte by byte on a raw connection.
+/// HTTP contract towards callers, tested byte by byte on raw TCP connections.
 #include "core/metrics.h"
 #include "http/address.h"
 #include "http/server.h"
@@ -19,10 +19,11 @@
 
 namespace {
 
-/// A server that answers with what it got: method, target and body.
+/// Server that responds with the method, target and body of the request. Target
+/// /stream gets a streamed response, /broken one that is aborted.
 class EchoServer {
 public:
-  EchoServer() : Server(Io, "127.0.0.1:0", limits(), Counts, calls()) {
+  EchoServer() : Server(Io, "127.0.0.1:0", limits(), Counts, handlers()) {
     std::string problem;
     REQUIRE(Server.start(problem));
     Runner = std::thread([this] { Io.run(); });
@@ -32,8 +33,9 @@
     Runner.join();
   }
 
-  /// Sends \p Bytes, closes the sending side if asked, and reads to the end.
-  std::string talk(const std::string &Bytes, bool IsHalfClosed = true) {
+  /// Sends \p Bytes, closes the sending side if \p IsHalfClosed, and returns
+  /// everything received until the server closes the connection.
+  std::string exchange(const std::string &Bytes, bool IsHalfClosed = true) {
     auto address = parseAddress(Server.address());
     asio::io_context io;
     Tcp::socket socket(io);
@@ -42,9 +44,9 @@
     asio::write(socket, asio::buffer(Bytes), ec);
     if (IsHalfClosed)
       socket.shutdown(Tcp::socket::shutdown_send, ec);
-    std::string answer;
-    asio::read(socket, asio::dynamic_buffer(answer), ec);
-    return answer;
+    std::string response;
+    asio::read(socket, asio::dynamic_buffer(response), ec);
+    return response;
   }
 
 private:
@@ -55,10 +57,10 @@
     return limits;
   }
 
-  static HttpServer::Handlers calls() {
-    HttpServer::Handlers calls;
-    calls.OnRequest = [](const HttpRequest &Request,
-                         const std::shared_ptr<HttpExchange> &Exchange) {
+  static HttpServer::Handlers handlers() {
+    HttpServer::Handlers handlers;
+    handlers.OnRequest = [](const HttpRequest &Request,
+                            const std::shared_ptr<HttpExchange> &Exchange) {
       std::string text =
           Request.Method + " " + Request.Target + " " + Request.Body;
       if (Request.Target == "/stream") {
@@ -74,8 +76,8 @@
         Exchange->respond(200, {}, text);
       }
     };
-    calls.OnLoss = [](const HttpExchange *, HttpLoss) {};
-    return calls;
+    handlers.OnLoss = [](const HttpExchange *, HttpLoss) {};
+    return handlers;
   }
 
   asio::io_context Io;
@@ -84,9 +86,9 @@
   std::thread Runner;
 };
 
-struct Talk {
+struct RequestCase {
   const char *What;
-  std::string Sent;
+  std::string Input;
   std::vector<std::string> Expected;
   std::vector<std::string> Absent;
 };
@@ -96,7 +98,7 @@
 TEST_CASE("callers' HTTP: good and bad requests") {
   EchoServer server;
   std::string body(900, 'x');
-  const Talk cases[] = {
+  const RequestCase cases[] = {
       {"HTTP/1.1",
        "GET /a HTTP/1.1\r\nHost: h\r\n\r\n",
        {"HTTP/1.1 200", "GET /a "},
@@ -177,18 +179,18 @@
        {"200"},
        {"HEAD /a "}},
   };
-  for (const Talk &it : cases) {
+  for (const RequestCase &it : cases) {
     INFO(it.What);
-    std::string answer = server.talk(it.Sent);
-    INFO(answer);
+    std::string response = server.exchange(it.Input);
+    INFO(response);
     for (const std::string &part : it.Expected)
-      CHECK(answer.find(part) != std::string::npos);
+      CHECK(response.find(part) != std::string::npos);
     for (const std::string &part : it.Absent)
-      CHECK(answer.find(part) == std::string::npos);
+      CHECK(response.find(part) == std::string::npos);
   }
 }
 
-TEST_CASE("callers' HTTP: no bytes end the server") {
+TEST_CASE("callers' HTTP: corrupted requests do not stop the server") {
   EchoServer server;
   for (uint32_t seed = 1; seed <= 200; ++seed) {
     std::mt19937 random(seed);
@@ -196,8 +198,8 @@
                         "chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
     for (int i = 0; i < 3; ++i)
       bytes[random() % bytes.size()] = static_cast<char>(random() % 256);
-    server.talk(bytes);
+    server.exchange(bytes);
   }
-  CHECK(server.talk("GET /a HTTP/1.1\r\nHost: h\r\n\r\n").find("200") !=
+  CHECK(server.exchange("GET /a HTTP/1.1\r\nHost: h\r\n\r\n").find("200") !=
         std::string::npos);
 }
