--- a/tests/platform/test_codecs.cpp
+++ b/tests/platform/test_codecs.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Contract of the platform's formats: what is read, what is refused with a
-/// reason, and what never reaches an endpoint.
+/// Contract of the platform's formats: what is accepted, what is rejected with
+/// a reason, and which caller fields must not reach an endpoint.
 #include "platform/announcement_codec.h"
 #include "platform/caller_codec.h"
 #include "platform/engine_codec.h"
@@ -30,20 +30,20 @@
 
 } // namespace
 
-TEST_CASE("operator's table is read whole or refused with a reason") {
+TEST_CASE("operator's table is accepted completely or rejected with a reason") {
   struct Case {
     const char *What;
     std::string Text;
-    const char *Reason; ///< Null when it is sound.
+    const char *Reason; ///< Expected in the error; null if the table is valid.
   };
   const std::string good = route(R"(,"service":"s")");
   const Case cases[] = {
-      {"sound", tableWith(good), nullptr},
+      {"valid", tableWith(good), nullptr},
       {"unknown fields", tableWith(route(R"(,"service":"s","new":{"a":1})")),
        nullptr},
-      {"sound split",
+      {"valid split",
        tableWith(route(R"(,"split":[{"service":"s","weight":1}])")), nullptr},
-      {"cut short", tableWith(good).substr(0, 60), "JSON"},
+      {"truncated", tableWith(good).substr(0, 60), "JSON"},
       {"not an object", "[]", "object"},
       {"empty", "", "JSON"},
       {"no version", R"({"routes":[],"services":[]})", "version"},
@@ -53,7 +53,7 @@
        "version"},
       {"routes of another type", R"({"version":1,"routes":{},"services":[]})",
        "routes"},
-      {"route that is no object", tableWith("5"), "object"},
+      {"route that is not an object", tableWith("5"), "object"},
       {"unknown kind",
        tableWith(R"({"name":"r","host":"h","path-prefix":"/p/","kind":"odd",)"
                  R"("timeout-ms":5,"service":"s"})"),
@@ -64,7 +64,8 @@
       {"weights of 0",
        tableWith(route(R"(,"split":[{"service":"s","weight":0}])")),
        "add up to 0"},
-      {"same place twice", tableWith(good + "," + good), "twice"},
+      {"same host and path prefix twice", tableWith(good + "," + good),
+       "twice"},
       {"shared key",
        tableWith(good, R"(,"tenants":[{"name":"a","api-keys":["k"]},)"
                        R"({"name":"b","api-keys":["k"]}])"),
@@ -84,7 +85,7 @@
   }
 }
 
-TEST_CASE("operator's table gives models their sizes and times") {
+TEST_CASE("operator's table sets the sizes and load times of models") {
   std::string problem;
   auto table =
       platform::readTable(tableWith(route(R"(,"service":"s")")), problem);
@@ -92,26 +93,27 @@
   const EngineSpec &engine = *table->Services.at("s").Engine;
   CHECK(engine.WeightsMb == 100);
   const ModelSpec &model = engine.Models.at("m");
-  // Sizes are rounded up, so that a sum of them never exceeds the memory.
+  // Sizes are rounded up, so that models whose rounded sizes fit into memory
+  // together do fit.
   CHECK(model.WeightsMb == 11);
   CHECK(model.StoreLoad == Millis(6'000));
   CHECK(model.DiskLoad == Millis(6'000));
 }
 
-TEST_CASE("announcement names an endpoint only when all of it can be read") {
+TEST_CASE("announcement is accepted only if all of its fields can be parsed") {
   const std::string good =
       R"("service":"s","address":"10.0.0.1:80","zone":"z","slots":4,)"
       R"("state":"ready","seq":3,"born":1700000000000)";
   struct Case {
     const char *What;
     std::string Body;
-    bool IsRead;
+    bool IsValid;
   };
   const Case cases[] = {
-      {"sound", "{" + good + "}", true},
+      {"valid", "{" + good + "}", true},
       {"unknown field", "{" + good + R"(,"odd":[1]})", true},
-      {"unreadable", "{" + good, false},
-      {"no object", "[]", false},
+      {"malformed JSON", "{" + good, false},
+      {"not an object", "[]", false},
       {"no service",
        R"({"address":"10.0.0.1:80","zone":"z","state":"ready","seq":3})",
        false},
@@ -136,20 +138,20 @@
     INFO(it.What);
     auto call = platform::readFleetCall(
         {"POST", "/Instances.Heartbeat/i-1", {}, it.Body});
-    CHECK(std::holds_alternative<platform::Announcement>(call) == it.IsRead);
-    CHECK(std::holds_alternative<platform::MalformedCall>(call) != it.IsRead);
+    CHECK(std::holds_alternative<platform::Announcement>(call) == it.IsValid);
+    CHECK(std::holds_alternative<platform::MalformedCall>(call) != it.IsValid);
   }
   auto call = platform::readFleetCall({"POST", "/Instances.Leave/i-1", {}, ""});
-  auto *spoken = std::get_if<platform::Announcement>(&call);
-  REQUIRE(spoken);
-  CHECK(spoken->Sighting.has_left());
-  CHECK(spoken->Sighting.id() == "i-1");
+  auto *leave = std::get_if<platform::Announcement>(&call);
+  REQUIRE(leave);
+  CHECK(leave->Sighting.has_left());
+  CHECK(leave->Sighting.id() == "i-1");
   CHECK(std::holds_alternative<platform::UnknownCall>(
       platform::readFleetCall({"GET", "/Instances.Leave/i-1", {}, ""})));
 }
 
-TEST_CASE("nothing that only the fleet may say reaches an endpoint from a "
-          "caller") {
+TEST_CASE("caller's fields that only the fleet may set do not reach an "
+          "endpoint") {
   HttpRequest request{"POST", "/p/x", {}, "body"};
   for (const char *name :
        {"authorization", "sassafrasseam-tenant", "sassafrasseam-hold",
@@ -169,10 +171,10 @@
   CHECK(fields.Adapter == "a3");
   CHECK(fields.PromptTokens == 14);
   CHECK(fields.OutputTokens == 80);
-  platform::EndpointFields told;
-  told.TimeLeft = Millis(900);
-  told.Endpoint = "i-1";
-  platform::setEndpointFields(request, told);
+  platform::EndpointFields endpointFields;
+  endpointFields.TimeLeft = Millis(900);
+  endpointFields.Endpoint = "i-1";
+  platform::setEndpointFields(request, endpointFields);
   for (const HttpField &it : request.Fields) {
     INFO(it.Name);
     CHECK(it.Value.find("secret") == std::string::npos);
@@ -184,7 +186,7 @@
   CHECK(fieldOf(request.Fields, "sassafrasseam-tenant").empty());
 }
 
-TEST_CASE("answer says whether its request has run") {
+TEST_CASE("response states whether its request was run") {
   auto notRun = platform::readResponseFields(
       503, {{"sassafrasseam-not-executed", "1"},
             {"sassafrasseam-attempt-id", "x"},
@@ -199,7 +201,7 @@
           .Load);
 }
 
-TEST_CASE("engine's state is read or refused with a reason") {
+TEST_CASE("engine's state is accepted or rejected with a reason") {
   wire::EngineReport report;
   std::string problem;
   REQUIRE(platform::readState(
