--- a/agent/agent_shell.cpp
+++ b/agent/agent_shell.cpp
@@ -115,11 +115,11 @@
       Start.Request.method(), Start.Request.target(), {}, Start.Request.body()};
   for (const wire::Header &it : Start.Request.headers())
     request.Fields.push_back({it.name(), it.value()});
-  HttpCalls callbacks;
-  callbacks.OnHead = [this, key](const HttpHead &Head) {
+  HttpCallbacks callbacks;
+  callbacks.OnHead = [this, key](const HttpResponseHead &Head) {
     EndpointHead head{key, Head.Status, {}};
     for (const HttpField &it : Head.Fields) {
-      if (isHopField(it.Name))
+      if (isHopByHopField(it.Name))
         continue;
       wire::Header header;
       header.set_name(it.Name);
@@ -135,7 +135,7 @@
     Calls.erase(key);
     post(EndpointEnd{key});
   };
-  callbacks.OnBreak = [this, key](HttpBreak Break) {
+  callbacks.OnFailure = [this, key](HttpFailure Break) {
     Calls.erase(key);
     post(ExchangeFailed{key, Break.WasSent});
   };
@@ -154,8 +154,8 @@
            {{"row", Order.Row}, {"fence", std::to_string(Order.Fence)}});
   Counts.count("orders_total", isLoad ? "kind=\"load\"" : "kind=\"unload\"");
   auto hasStatusOk = std::make_shared<bool>(false);
-  HttpCalls callbacks;
-  callbacks.OnHead = [hasStatusOk](const HttpHead &Head) {
+  HttpCallbacks callbacks;
+  callbacks.OnHead = [hasStatusOk](const HttpResponseHead &Head) {
     *hasStatusOk = Head.Status == StatusOk;
   };
   callbacks.OnBody = [](std::string_view) {};
@@ -169,7 +169,7 @@
     post(OrderResult{Order.Row, Order.Fence, isSuccess, isAnswered});
   };
   callbacks.OnEnd = [finish] { finish(true); };
-  callbacks.OnBreak = [finish](HttpBreak) { finish(false); };
+  callbacks.OnFailure = [finish](HttpFailure) { finish(false); };
   startHttpCall(Io, EndpointAddress, request, OrderIdleTimeout,
                 std::move(callbacks));
 }
@@ -194,12 +194,12 @@
   if (IsProbing || EndpointAddress.empty())
     return;
   IsProbing = true;
-  HttpCalls callbacks;
-  callbacks.OnHead = [](const HttpHead &) {};
+  HttpCallbacks callbacks;
+  callbacks.OnHead = [](const HttpResponseHead &) {};
   callbacks.OnBody = [](std::string_view) {};
   callbacks.OnEnd = [self = shared_from_this()] { self->IsProbing = false; };
-  callbacks.OnBreak = [self = shared_from_this(), RetriesLeft,
-                       announced = LastAnnounce](HttpBreak Break) {
+  callbacks.OnFailure = [self = shared_from_this(), RetriesLeft,
+                         announced = LastAnnounce](HttpFailure Break) {
     self->IsProbing = false;
     // An announcement since the probe may come from a new process at the same
     // address.
@@ -285,7 +285,7 @@
 }
 
 bool AgentShell::start(std::string &Problem) {
-  uint64_t incarnation = drawIncarnation();
+  uint64_t incarnation = makeIncarnation();
   Peers = std::make_unique<Link>(
       Io, LinkSelf{Options.Fleet, Options.Node, incarnation, Options.Listen},
       Counts, [this](wire::Envelope Message) {
--- a/control/observation.cpp
+++ b/control/observation.cpp
@@ -140,7 +140,7 @@
   // process must not replace the state of the current one, unless that has not
   // been heard for EndpointWriteOff.
   bool isOlderProcess = Message.incarnation() < info.Incarnation &&
-                        Now - info.LastHeard < timing::EndpointWriteOff;
+                        Now - info.LastHeard < timing::EndpointRemovalTimeout;
   if (isOlderProcess)
     return;
   if (!isSameProcess) {
@@ -173,7 +173,7 @@
     if (node != State.Nodes.end())
       lastReportAt = std::max(lastReportAt, node->second.EndpointReportedAt);
     auto silence = Now - lastReportAt;
-    if (silence >= timing::EndpointWriteOff) {
+    if (silence >= timing::EndpointRemovalTimeout) {
       proposeEndpoint(State, *it, true, Now, Raft);
     } else if (silence >= timing::EndpointLease && it->ready()) {
       wire::Endpoint unready = *it;
--- a/control/serving_group.cpp
+++ b/control/serving_group.cpp
@@ -76,13 +76,13 @@
     return false;
   }
   RaftSelf self{Options.Node, content->Identity, Peers.address(),
-                timing::QuickGroup};
+                timing::LowLatencyGroup};
   RaftState raft =
       content->IsBlank
-          ? makeBlankRaft(self, Options.Seeds, drawIdentity(), now)
+          ? makeBlankRaft(self, Options.Seeds, generateIdentity(), now)
           : restoreRaft(self, Options.Seeds, content->Snapshot,
                         content->HardState, std::move(content->Entries),
-                        drawIdentity(), now);
+                        generateIdentity(), now);
   raft.MayForm = Options.MayForm;
   raft.MayJoin = true;
   if (!JoinAddresses.empty())
--- a/core/hash.cpp
+++ b/core/hash.cpp
@@ -24,10 +24,10 @@
   return out;
 }
 
-void drawBytes(unsigned char *Bytes, int Size) {
+void fillRandom(unsigned char *Bytes, int Size) {
   if (RAND_bytes(Bytes, Size) == 1)
     return;
-  // Without random numbers no identity is safe.
+  // Identities and keys would not be unique or secret without random bytes.
   std::fputs("event=random_source_failed\n", stderr);
   std::abort();
 }
@@ -60,22 +60,22 @@
   return XXH64(Bytes.data(), Bytes.size(), 0);
 }
 
-uint64_t drawIdentity() {
+uint64_t generateIdentity() {
   uint64_t n = 0;
   while (n == 0)
-    drawBytes(reinterpret_cast<unsigned char *>(&n), sizeof n);
+    fillRandom(reinterpret_cast<unsigned char *>(&n), sizeof n);
   return n;
 }
 
-uint64_t drawIncarnation() {
+uint64_t makeIncarnation() {
   auto n = std::chrono::system_clock::now().time_since_epoch();
   return static_cast<uint64_t>(
       std::chrono::duration_cast<std::chrono::microseconds>(n).count());
 }
 
-std::string drawKey() {
+std::string generateKey() {
   unsigned char buf[16];
-  drawBytes(buf, sizeof buf);
+  fillRandom(buf, sizeof buf);
   return "sk-" + toHex(buf, sizeof buf);
 }
 
--- a/ctl/client.cpp
+++ b/ctl/client.cpp
@@ -24,7 +24,7 @@
                                               ? Options.FrontRole.Seeds
                                               : Options.EngineAgentRole.Seeds;
   for (const std::string &it : seeds)
-    out.push_back(atPortOf(it, Options.Listen));
+    out.push_back(replacePort(it, Options.Listen));
   return out;
 }
 
@@ -35,7 +35,7 @@
       : Options(Options), Timeout(Timeout),
         Targets(listMemberAddresses(Options)),
         Peers(Io,
-              LinkSelf{Options.Fleet, "ctl", drawIncarnation(), localAddress()},
+              LinkSelf{Options.Fleet, "ctl", makeIncarnation(), localAddress()},
               Counts, [this](wire::Envelope Message) {
                 Inbox.push_back(std::move(Message));
               }) {}
@@ -91,7 +91,7 @@
   std::vector<wire::Envelope> Inbox;
   Link Peers;
   std::string Problem;
-  uint64_t NextRequest = drawIdentity();
+  uint64_t NextRequest = generateIdentity();
 };
 
 ControlClient::ControlClient(const Settings &Options, Millis Timeout)
@@ -135,7 +135,7 @@
 ControlClient::propose(wire::Command Command) {
   // The operation id makes resends of one command idempotent.
   if (Command.operation_id().empty())
-    Command.set_operation_id("ctl-" + std::to_string(drawIdentity()));
+    Command.set_operation_id("ctl-" + std::to_string(generateIdentity()));
   wire::Envelope envelope;
   envelope.mutable_proposal()->set_request_id(
       std::to_string(Data->NextRequest++));
--- a/ctl/commands.cpp
+++ b/ctl/commands.cpp
@@ -201,7 +201,7 @@
 // ---- Keys ----
 
 ToolExit grantKey(CommandContext &Context, const std::string &Organisation) {
-  std::string key = drawKey();
+  std::string key = generateKey();
   wire::Command command = makeCommand(Context);
   wire::KeyGrant &grant = *command.mutable_key_grant();
   grant.set_tenant(Organisation);
--- a/engine_agent/engine_agent_shell.cpp
+++ b/engine_agent/engine_agent_shell.cpp
@@ -108,7 +108,7 @@
 
 bool EngineAgentShell::start(std::string &Problem) {
   StartedAt = Clock::now();
-  uint64_t incarnation = drawIncarnation();
+  uint64_t incarnation = makeIncarnation();
   Peers = std::make_unique<Link>(
       Io, LinkSelf{Options.Fleet, Options.Node, incarnation, Options.Listen},
       Counts,
@@ -121,7 +121,7 @@
   Self.set_kind(wire::NODE_ENGINE_AGENT);
   Self.set_zone(Options.Zone);
   for (const std::string &it : Options.EngineAgentRole.Seeds)
-    Seeds.push_back(atPortOf(it, Peers->address()));
+    Seeds.push_back(replacePort(it, Peers->address()));
   sendHeartbeat();
   poll();
   return true;
@@ -188,8 +188,10 @@
   IsPolling = true;
   auto text = std::make_shared<std::string>();
   auto status = std::make_shared<unsigned>(0);
-  HttpCalls callbacks;
-  callbacks.OnHead = [status](const HttpHead &Head) { *status = Head.Status; };
+  HttpCallbacks callbacks;
+  callbacks.OnHead = [status](const HttpResponseHead &Head) {
+    *status = Head.Status;
+  };
   callbacks.OnBody = [text](std::string_view Bytes) { *text += Bytes; };
   callbacks.OnEnd = [self = shared_from_this(), text, status] {
     self->IsPolling = false;
@@ -198,12 +200,12 @@
     else
       self->handleEngineLoss("HTTP status " + std::to_string(*status));
   };
-  callbacks.OnBreak = [self = shared_from_this()](HttpBreak Break) {
+  callbacks.OnFailure = [self = shared_from_this()](HttpFailure Break) {
     self->IsPolling = false;
     self->handleEngineLoss(Break.IsRefused ? "connection refused"
                                            : "no complete response");
   };
-  Client.start(Options.EngineAgentRole.Engine, platform::printStateQuestion(),
+  Client.start(Options.EngineAgentRole.Engine, platform::makeStateRequest(),
                {EngineTimeout, EngineTimeout, EngineTimeout * 4},
                std::move(callbacks));
 }
@@ -231,7 +233,7 @@
   publishReport(now);
   if (isPast(NextSweep, now)) {
     NextSweep = now + SweepInterval;
-    Client.sweep();
+    Client.closeExpired();
   }
   bool isActive = State.Goal || !State.Adapters.empty() ||
                   State.Report.is_busy() || State.Report.incoming_size() > 0;
@@ -267,7 +269,7 @@
   engineCommand.Adapter = Planned.Adapter;
   engineCommand.ExpectedSequence = Planned.ExpectedSequence;
   engineCommand.Holder = Options.Node;
-  engineCommand.Fence = ConstantFence;
+  engineCommand.FencingToken = ConstantFence;
   engineCommand.Endpoint = Planned.Endpoint;
   Counts.count("engine_orders_total",
                Planned.IsLoad ? "kind=\"load\"" : "kind=\"unload\"");
@@ -284,14 +286,17 @@
     // The engine's state shows the result of the command.
     self->poll();
   };
-  HttpCalls callbacks;
-  callbacks.OnHead = [status](const HttpHead &Head) { *status = Head.Status; };
+  HttpCallbacks callbacks;
+  callbacks.OnHead = [status](const HttpResponseHead &Head) {
+    *status = Head.Status;
+  };
   callbacks.OnBody = [](std::string_view) {};
   callbacks.OnEnd = [finish] { finish(true); };
-  callbacks.OnBreak = [finish](HttpBreak) { finish(false); };
-  Client.start(
-      Options.EngineAgentRole.Engine, platform::printCommand(engineCommand),
-      {EngineTimeout, EngineTimeout, EngineTimeout * 4}, std::move(callbacks));
+  callbacks.OnFailure = [finish](HttpFailure) { finish(false); };
+  Client.start(Options.EngineAgentRole.Engine,
+               platform::makeCommandRequest(engineCommand),
+               {EngineTimeout, EngineTimeout, EngineTimeout * 4},
+               std::move(callbacks));
 }
 
 // ---- Fronts ----
@@ -420,7 +425,7 @@
 void EngineAgentShell::reload(const Settings &NewSettings) {
   Seeds.clear();
   for (const std::string &it : NewSettings.EngineAgentRole.Seeds)
-    Seeds.push_back(atPortOf(it, Peers->address()));
+    Seeds.push_back(replacePort(it, Peers->address()));
 }
 
 } // namespace
--- a/entry/admission.cpp
+++ b/entry/admission.cpp
@@ -68,7 +68,7 @@
     return makeRefusal(RefusalReason::KeyUnknown);
   Organisation = it->second;
   if (!allowsOrganisation(Row, Organisation))
-    return makeRefusal(RefusalReason::TenantNotAllowed);
+    return makeRefusal(RefusalReason::OrganisationNotAllowed);
   return std::nullopt;
 }
 
--- a/entry/entry_shell.cpp
+++ b/entry/entry_shell.cpp
@@ -281,7 +281,7 @@
 }
 
 void EntryShell::waitForOpenRequests() {
-  bool isEmpty = Server->countOpen() == 0;
+  bool isEmpty = Server->countOpenExchanges() == 0;
   if (isEmpty)
     post(EntryStop{});
   StopTimer.expires_after(isEmpty && IsDone ? ExitDelay : ExitPollInterval);
@@ -299,7 +299,7 @@
 }
 
 bool EntryShell::start(std::string &Problem) {
-  Incarnation = drawIncarnation();
+  Incarnation = makeIncarnation();
   Peers = std::make_unique<Link>(
       Io, LinkSelf{Options.Fleet, Options.Node, Incarnation, Options.Listen},
       Counts, [this](wire::Envelope Message) {
--- a/entry/responses.cpp
+++ b/entry/responses.cpp
@@ -314,7 +314,7 @@
   if (Request.Organisation.empty())
     return false;
   if (!isConfirmed(State.View, Now))
-    return isPast(State.View.LeaseEnd + timing::AnswerGrace, Now);
+    return isPast(State.View.LeaseEnd + timing::ResponseGrace, Now);
   return !isKeyValid(State, Request);
 }
 
--- a/front/fleet_api.cpp
+++ b/front/fleet_api.cpp
@@ -64,14 +64,14 @@
     putTable(Request, Exchange);
   } else if (std::holds_alternative<platform::GetTable>(call)) {
     getTable(Exchange);
-  } else if (std::holds_alternative<platform::ReadyQuestion>(call)) {
+  } else if (std::holds_alternative<platform::ReadinessQuery>(call)) {
     bool isReady = Deps.IsReady();
     Exchange->respond(isReady ? StatusOk : StatusUnavailable, {},
                       isReady ? "ready\n" : "not ready\n");
-  } else if (std::holds_alternative<platform::MetricsQuestion>(call)) {
+  } else if (std::holds_alternative<platform::MetricsQuery>(call)) {
     Exchange->respond(StatusOk, {{"content-type", "text/plain"}},
                       Deps.Core.Counts.print());
-  } else if (auto *unreadable = std::get_if<platform::UnreadableCall>(&call)) {
+  } else if (auto *unreadable = std::get_if<platform::MalformedCall>(&call)) {
     Deps.Core.Counts.count("calls_unreadable_total");
     logEvent(LogLevel::Warning, "call_unreadable",
              {{"target", Request.Target}, {"reason", unreadable->Reason}});
@@ -146,7 +146,7 @@
                            errorBody("the group has no leader now"));
   } else if (call.IsPut) {
     call.Exchange->respond(StatusOk, jsonHeaders(), "{}\n");
-  } else if (auto text = expandText(Answer.Content, MaxTableBytes)) {
+  } else if (auto text = decompressText(Answer.Content, MaxTableBytes)) {
     call.Exchange->respond(StatusOk, jsonHeaders(), std::move(*text));
   } else {
     logEvent(LogLevel::Error, "table_unreadable",
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -144,7 +144,7 @@
 
 bool FrontShell::start(std::string &Problem) {
   StartedAt = Clock::now();
-  uint64_t incarnation = drawIncarnation();
+  uint64_t incarnation = makeIncarnation();
   Peers = std::make_unique<Link>(
       Io, LinkSelf{Options.Fleet, Options.Node, incarnation, Options.Listen},
       Counts,
@@ -162,9 +162,9 @@
   state.Self.set_is_voter(!Options.FrontRole.DataFolder.empty());
   state.Self.set_control_address(Options.FrontRole.Control);
   setLimits(Options.FrontRole);
-  state.Random.seed(drawIdentity());
+  state.Random.seed(generateIdentity());
   for (const std::string &it : Options.FrontRole.Seeds)
-    Gossip.Seeds.push_back(atPortOf(it, Peers->address()));
+    Gossip.Seeds.push_back(replacePort(it, Peers->address()));
   Api = std::make_unique<FleetApi>(
       FleetApi::Dependencies{Core, Gossip, [this] { return isReady(); },
                              [this] { return Group.get(); },
@@ -270,7 +270,7 @@
                                const std::shared_ptr<HttpExchange> &Exchange,
                                TimePoint ArrivedAt) {
   TimePoint now = Clock::now();
-  platform::CallerFields fields = platform::takeCallerFields(Request);
+  platform::CallerFields fields = platform::extractCallerFields(Request);
   RequestAttributes facts;
   facts.Id = fields.RequestId;
   facts.Method = Request.Method;
@@ -320,9 +320,9 @@
             {"path", Attributes.Path},
             {"table", std::to_string(version)}});
   std::vector<HttpField> fields{{"content-type", "application/json"},
-                                platform::printRequestId(Attributes.Id)};
+                                platform::makeRequestIdField(Attributes.Id)};
   if (Refusal.RetryAfter)
-    fields.push_back(platform::printRetryAfter(*Refusal.RetryAfter));
+    fields.push_back(platform::makeRetryAfterField(*Refusal.RetryAfter));
   Exchange.respond(statusOf(Refusal.Reason), std::move(fields),
                    R"({"error":{"reason":")" + reason +
                        R"(","ran":"not_run"}})"
@@ -469,7 +469,7 @@
   if (state.Table && Version <= state.Table->Version)
     return;
   std::string problem;
-  auto text = expandText(Content, MaxTableBytes);
+  auto text = decompressText(Content, MaxTableBytes);
   ServingTablePtr table = text ? platform::readTable(*text, problem) : nullptr;
   if (!table) {
     logEvent(LogLevel::Error, "table_unreadable",
@@ -482,9 +482,9 @@
   HttpLimits limits;
   limits.HeadBytes = table->Limits.HeadBytes;
   limits.BodyBytes = table->Limits.BodyBytes;
-  limits.HeadTime = table->Limits.HeadTime;
-  limits.IdleTime = table->Limits.IdleTime;
-  limits.EndsWithCaller = true;
+  limits.HeadTimeout = table->Limits.HeadTime;
+  limits.IdleTimeout = table->Limits.IdleTime;
+  limits.CancelsOnDisconnect = true;
   CallerServer->setLimits(limits);
   logEvent(LogLevel::Info, "table_in_force",
            {{"version", std::to_string(Version)},
@@ -544,7 +544,7 @@
 
 std::string FrontShell::leaderControlAddress() const {
   if (!View.LeaderAddress.empty() && !View.IsLeader)
-    return atPortOf(View.LeaderAddress, Options.FrontRole.Control);
+    return replacePort(View.LeaderAddress, Options.FrontRole.Control);
   bool isCurrent = Clock::now() - Core.State.Leader.HeardAt < NodeTimeout;
   return isCurrent && !View.IsLeader ? Core.State.Leader.ControlAddress
                                      : std::string();
@@ -573,7 +573,7 @@
     runLeaderTasks(now);
   if (isPast(NextSweep, now)) {
     NextSweep = now + SweepPeriod;
-    Core.Client.sweep();
+    Core.Client.closeExpired();
     logNodeChanges(now);
     expireNodes(Core.State.Roster, now);
     expireEndpoints(Core.State.Directory, now);
@@ -713,7 +713,7 @@
     self->Core.State.IsStopping = true;
     self->BalancerDrainEnd = now + BalancerDrainTime;
     self->StopDeadline = now + self->Options.FrontRole.StopGrace - StopMargin;
-    self->CallerServer->windDown();
+    self->CallerServer->drain();
     self->HeldRequests.HoldEnd = now;
     if (self->Group)
       self->Group->post(StoreStop{});
@@ -723,7 +723,7 @@
 void FrontShell::reload(const Settings &NewSettings) {
   Gossip.Seeds.clear();
   for (const std::string &it : NewSettings.FrontRole.Seeds)
-    Gossip.Seeds.push_back(atPortOf(it, Peers->address()));
+    Gossip.Seeds.push_back(replacePort(it, Peers->address()));
   setLimits(NewSettings.FrontRole);
 }
 
--- a/front/relay.cpp
+++ b/front/relay.cpp
@@ -142,13 +142,15 @@
   platform::EndpointFields fields{left, Endpoint, Request.Organisation,
                                   Request.Urgency, Request.LastEvent};
   HttpRequest message = Message;
-  platform::putEndpointFields(message, fields);
-  HttpCalls calls;
+  platform::setEndpointFields(message, fields);
+  HttpCallbacks calls;
   auto self = shared_from_this();
-  calls.OnHead = [self](HttpHead Head) { self->handleHead(std::move(Head)); };
+  calls.OnHead = [self](HttpResponseHead Head) {
+    self->handleHead(std::move(Head));
+  };
   calls.OnBody = [self](std::string_view Bytes) { self->handleBody(Bytes); };
   calls.OnEnd = [self] { self->handleEnd(); };
-  calls.OnBreak = [self](HttpBreak Break) { self->handleBreak(Break); };
+  calls.OnFailure = [self](HttpFailure Break) { self->handleBreak(Break); };
   HttpCallOptions options{std::min(ConnectTimeout, left), left + ConnectTimeout,
                           Request.IsRepeatable ? MaxIdle
                                                : MaxIdleNonRepeatable};
@@ -157,18 +159,18 @@
 
 /// A response to another request, or a successful one without the endpoint's
 /// seal, must not reach the caller.
-bool Relay::isTrusted(const HttpHead &Head) const {
-  auto fields = platform::readAnswerFields(Head.Status, Head.Fields);
+bool Relay::isTrusted(const HttpResponseHead &Head) const {
+  auto fields = platform::readResponseFields(Head.Status, Head.Fields);
   if (fields.RequestId != Request.Attributes.Id)
     return fields.RequestId.empty() && !isSuccess(Head.Status);
   return fields.IsSealed || !isSuccess(Head.Status);
 }
 
-void Relay::handleHead(HttpHead NewHead) {
+void Relay::handleHead(HttpResponseHead NewHead) {
   if (IsOver)
     return;
   TimePoint now = Clock::now();
-  auto fields = platform::readAnswerFields(NewHead.Status, NewHead.Fields);
+  auto fields = platform::readResponseFields(NewHead.Status, NewHead.Fields);
   if (!isTrusted(NewHead)) {
     Core.Counts.count("answers_distrusted_total");
     breakExchange(ExchangeFailure::Broken);
@@ -292,7 +294,7 @@
   finish(Head.Status < 500 ? "answered" : "endpoint_error", Head.Status);
 }
 
-void Relay::handleBreak(HttpBreak Break) {
+void Relay::handleBreak(HttpFailure Break) {
   if (IsOver)
     return;
   Call.reset();
@@ -361,10 +363,10 @@
   }
   std::vector<HttpField> fields{
       {"content-type", "application/json"},
-      platform::printRequestId(Request.Attributes.Id)};
+      platform::makeRequestIdField(Request.Attributes.Id)};
   RetryAfter = Refusal.RetryAfter;
   if (RetryAfter)
-    fields.push_back(platform::printRetryAfter(*RetryAfter));
+    fields.push_back(platform::makeRetryAfterField(*RetryAfter));
   unsigned status = statusOf(Refusal.Reason);
   // Only a request that certainly did not run may be reported as not run.
   if (Request.Runs > 0 && isNotRunStatus(status))
--- a/front/relay.h
+++ b/front/relay.h
@@ -37,11 +37,11 @@
   void applyResult(const DispatchResult &Result);
   void send(const SendTo &Chosen);
   void setWaiting(bool IsWaiting);
-  void handleHead(HttpHead Head);
+  void handleHead(HttpResponseHead Head);
   void handleBody(std::string_view Bytes);
   void handleEnd();
-  void handleBreak(HttpBreak Break);
-  bool isTrusted(const HttpHead &Head) const;
+  void handleBreak(HttpFailure Break);
+  bool isTrusted(const HttpResponseHead &Head) const;
   void writeEvents(std::string Events);
   /// Records the duration of a stage in the histogram of the request's kind.
   void observe(const char *Stage, Clock::duration Span);
@@ -62,7 +62,8 @@
   std::string Endpoint; ///< Of the current or last exchange.
   SendTo Target;        ///< Endpoint and the load that it was chosen by.
   std::optional<Millis> RetryAfter; ///< Sent with a refusal.
-  HttpHead Head; ///< Of the latest response; a resumed stream keeps the first.
+  HttpResponseHead
+      Head; ///< Of the latest response; a resumed stream keeps the first.
   std::string Body; ///< Buffered until the response is complete.
   SseBuffer EventBuffer;
   TimePoint SentAt;
--- a/policy/held_grants.cpp
+++ b/policy/held_grants.cpp
@@ -15,7 +15,7 @@
 constexpr uint64_t PrefetchFactor = 2;
 /// The bucket was charged at most this long before the entry spent the tokens,
 /// and a refund reaches it at most this long after it was queued.
-constexpr Millis RefundMargin = timing::GrantLifeAtGiver + Millis(1000);
+constexpr Millis RefundMargin = timing::GrantLifetimeAtIssuer + Millis(1000);
 
 } // namespace
 
@@ -100,7 +100,7 @@
   for (const wire::TenantGrant &it : request.wanted())
     sent.Wanted.push_back(it.tenant());
   std::erase_if(Held.Sent, [&](const auto &it) {
-    return Now - it.second.At > timing::GrantLife;
+    return Now - it.second.At > timing::GrantLifetime;
   });
   Held.PendingDemands.clear();
   Held.Returns.clear();
@@ -116,7 +116,7 @@
                                     sent->second.Wanted.end());
   // The lifetime counts from the time of sending, which precedes the time of
   // granting.
-  TimePoint expires = sent->second.At + timing::GrantLife;
+  TimePoint expires = sent->second.At + timing::GrantLifetime;
   for (const wire::Grant &it : Reply.grants()) {
     Held.Grants[it.tenant()].push_back({it.id(), it.tokens(), expires});
     Held.DepletedOrganisations.erase(it.tenant());
--- a/policy/token_bank.cpp
+++ b/policy/token_bank.cpp
@@ -66,7 +66,7 @@
 
 void resetBuckets(TokenBuckets &State, TimePoint Now) {
   State.Buckets.clear();
-  State.AvailableFrom = Now + timing::GrantLifeAtGiver;
+  State.AvailableFrom = Now + timing::GrantLifetimeAtIssuer;
 }
 
 std::optional<TokenGrant> issueGrant(TokenBuckets &State,
@@ -91,7 +91,7 @@
     reserve = {};
   TokenGrant grant{State.NextGrant++, tokens};
   bucket.Level -= static_cast<double>(tokens);
-  bucket.Outstanding[grant.Id] = {tokens, Now + timing::GrantLifeAtGiver};
+  bucket.Outstanding[grant.Id] = {tokens, Now + timing::GrantLifetimeAtIssuer};
   bucket.OutstandingTokens += tokens;
   return grant;
 }
--- a/tests/control/test_serving_store.cpp
+++ b/tests/control/test_serving_store.cpp
@@ -39,7 +39,7 @@
     Member &it = Members[Name];
     if (it.Disk.IsBlank)
       it.Identity = Random();
-    RaftSelf self{Name, it.Identity, Name, timing::QuickGroup};
+    RaftSelf self{Name, it.Identity, Name, timing::LowLatencyGroup};
     std::vector<wire::LogEntry> entries;
     for (auto &[index, entry] : it.Disk.Entries)
       entries.push_back(entry);
@@ -269,7 +269,7 @@
   REQUIRE(group.write(1, Millis(3'000)));
   std::string oldLeader = group.leader();
   group.Partitioned = {oldLeader};
-  group.run(timing::QuickGroup.Lease);
+  group.run(timing::LowLatencyGroup.Lease);
   CHECK(group.read(oldLeader).Outcome != StoreOutcome::Done);
   group.run(Millis(2'500));
   REQUIRE(group.leader() != oldLeader);
--- a/tests/fakes/fake_endpoint.cpp
+++ b/tests/fakes/fake_endpoint.cpp
@@ -44,7 +44,7 @@
   bool IgnoresFences = false;
   bool IsService = false;
   bool IsLeaving = false;
-  uint64_t Incarnation = drawIncarnation();
+  uint64_t Incarnation = makeIncarnation();
   uint64_t NewestFence = 0;
   std::string Address;
   std::map<std::string, Weights> Loaded;
@@ -74,9 +74,9 @@
   return names;
 }
 
-HttpCalls ignoreAnswer() {
-  return {[](const HttpHead &) {}, [](std::string_view) {}, [] {},
-          [](HttpBreak) {}};
+HttpCallbacks ignoreAnswer() {
+  return {[](const HttpResponseHead &) {}, [](std::string_view) {}, [] {},
+          [](HttpFailure) {}};
 }
 
 void announce(Fake &Fake) {
@@ -150,11 +150,11 @@
           [&Fake, name, Exchange] { finishLoad(Fake, name, Exchange, true); });
     return;
   }
-  HttpCalls calls = ignoreAnswer();
+  HttpCallbacks calls = ignoreAnswer();
   calls.OnEnd = [&Fake, name, Exchange] {
     finishLoad(Fake, name, Exchange, true);
   };
-  calls.OnBreak = [&Fake, name, Exchange](HttpBreak) {
+  calls.OnFailure = [&Fake, name, Exchange](HttpFailure) {
     finishLoad(Fake, name, Exchange, false);
   };
   startHttpCall(Fake.Io, Fake.Store, {"GET", "/weights/" + name, {}, {}},
--- a/tests/policy/test_token_bank.cpp
+++ b/tests/policy/test_token_bank.cpp
@@ -18,7 +18,7 @@
 
 TokenBuckets bucketsOpenAt(TimePoint Now) {
   TokenBuckets buckets;
-  resetBuckets(buckets, Now - timing::GrantLifeAtGiver);
+  resetBuckets(buckets, Now - timing::GrantLifetimeAtIssuer);
   return buckets;
 }
 
@@ -58,7 +58,7 @@
   TokenBuckets buckets;
   resetBuckets(buckets, Start);
   CHECK(take(buckets, 100, Start) == 0);
-  TimePoint opens = Start + timing::GrantLifeAtGiver;
+  TimePoint opens = Start + timing::GrantLifetimeAtIssuer;
   CHECK(take(buckets, 100, opens) == 0);
   CHECK(take(buckets, 100, opens + Millis(500)) == 50);
 }
@@ -113,7 +113,7 @@
   // Ten seconds later the bucket has been full again, so nothing is refunded.
   TimePoint later = now + std::chrono::seconds(10);
   REQUIRE(take(buckets, 400, later) == 400);
-  later += timing::GrantLifeAtGiver + Millis(100);
+  later += timing::GrantLifetimeAtIssuer + Millis(100);
   refundCharge(buckets, "alpha", 400, now, Rate, later);
   CHECK(take(buckets, 1000, later) == 10);
 }
--- a/tests/replication/test_raft.cpp
+++ b/tests/replication/test_raft.cpp
@@ -57,7 +57,7 @@
   return isGranted(out);
 }
 
-const TimePoint Free = Start + timing::ElectionMin;
+const TimePoint Free = Start + timing::ElectionTimeoutMin;
 
 /// Voters that start over from their disks one after the other, with links
 /// that take a few milliseconds.
@@ -112,7 +112,7 @@
       if (!Members.contains(it.name()) && Now >= StartTimes[it.name()])
         Members.emplace(it.name(),
                         restoreRaft({it.name(), it.identity(), it.address(),
-                                     timing::QuickGroup},
+                                     timing::LowLatencyGroup},
                                     {}, Snapshot, {}, entriesOf(it.identity()),
                                     Seed * 100 + it.identity(), Now));
   }
@@ -203,7 +203,7 @@
   append.mutable_append_request()->set_previous_term(1);
   RaftEffects out;
   receiveRaft(state, append, Free, out);
-  TimePoint end = Free + timing::ElectionMin;
+  TimePoint end = Free + timing::ElectionTimeoutMin;
   CHECK_FALSE(grants(state, voteRequest(3, 3), end - Millis(1)));
   wire::Envelope transfer = voteRequest(3, 3);
   transfer.mutable_vote_request()->set_transfer(true);
@@ -240,24 +240,24 @@
   receiveRaft(state, reply, now, out);
   CHECK(hasLease(state, sent + timing::LeaderLease - Millis(1)));
   CHECK_FALSE(hasLease(state, sent + timing::LeaderLease));
-  CHECK(timing::LeaderLease < timing::ElectionMin);
+  CHECK(timing::LeaderLease < timing::ElectionTimeoutMin);
   // A frozen leader that wakes may not propose.
-  CHECK_FALSE(canPropose(state, sent + timing::ElectionMin));
+  CHECK_FALSE(canPropose(state, sent + timing::ElectionTimeoutMin));
 }
 
 TEST_CASE("group that starts over after a loss of power soon has a leader") {
   // Eight voters started within 435 ms; the fifth of them, with whom a quorum
-  // may vote, 202 ms after the first. Each is barred for LeastElection.
+  // may vote, 202 ms after the first. Each is barred for MinElectionTimeout.
   const std::vector<Millis> starts{Millis(0),   Millis(53),  Millis(137),
                                    Millis(184), Millis(202), Millis(384),
                                    Millis(404), Millis(435)};
-  Millis mayVote = Millis(202) + timing::QuickGroup.LeastElection;
+  Millis mayVote = Millis(202) + timing::LowLatencyGroup.MinElectionTimeout;
   size_t late = 0;
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     Millis time = RestartedGroup(starts, seed).timeToLeader();
     INFO("seed " << seed << " took " << time.count() << " ms");
     CHECK(time >= mayVote);
-    CHECK(time <= mayVote + timing::QuickGroup.MostElection);
+    CHECK(time <= mayVote + timing::LowLatencyGroup.MaxElectionTimeout);
     late += time > mayVote + Millis(300);
   }
   // A vote that is split now and then may take another round.
@@ -272,8 +272,8 @@
       INFO("seed " << seed << " delay " << delay.count());
       Millis time = RestartedGroup({Millis(0), delay, Millis(60'000)}, seed, 2)
                         .timeToLeader();
-      CHECK(time <= delay + timing::QuickGroup.LeastElection +
-                        timing::QuickGroup.MostElection);
+      CHECK(time <= delay + timing::LowLatencyGroup.MinElectionTimeout +
+                        timing::LowLatencyGroup.MaxElectionTimeout);
     }
   }
 }
