--- a/control/control_shell.cpp
+++ b/control/control_shell.cpp
@@ -72,7 +72,7 @@
 };
 
 bool ControlShell::restore(std::string &Problem) {
-  DiskProblem problem;
+  DiskError problem;
   auto content = Disk.open(problem);
   if (!content) {
     Problem = problem.File + " " + problem.Reason;
--- a/control/serving_group.cpp
+++ b/control/serving_group.cpp
@@ -66,7 +66,7 @@
     return false;
   NextOpenAttempt = now + ReopenDelay;
   Disk = std::make_unique<DiskLog>(Options.DataFolder);
-  DiskProblem problem;
+  DiskError problem;
   auto content = Disk->open(problem);
   if (!content) {
     Disk.reset();
--- a/replication/disk_log.cpp
+++ b/replication/disk_log.cpp
@@ -217,7 +217,7 @@
   return true;
 }
 
-std::optional<DiskContent> DiskLog::open(DiskProblem &Problem) {
+std::optional<DiskContent> DiskLog::open(DiskError &Problem) {
   DiskContent content;
   std::error_code ec;
   std::filesystem::create_directories(Folder, ec);
--- a/replication/disk_log.h
+++ b/replication/disk_log.h
@@ -15,7 +15,7 @@
 namespace sassafras {
 
 /// Why files could not be read or written.
-struct DiskProblem {
+struct DiskError {
   std::string File;
   std::string Reason;
 };
@@ -42,7 +42,7 @@
   /// Reads the folder, creating it and an identity when it is new. Nothing
   /// on failure, with the cause in \p Problem: what was never synced may be
   /// torn anywhere and is cut; damage to what was synced is a failure.
-  std::optional<DiskContent> open(DiskProblem &Problem);
+  std::optional<DiskContent> open(DiskError &Problem);
   /// Adds a record; it lasts once sync has returned true.
   bool append(const wire::DiskRecord &Record);
   /// Replaces everything by a new generation; synced on return.
@@ -50,7 +50,7 @@
                const std::vector<wire::LogEntry> &Entries);
   /// Waits until all records are on the disk. Cheap when nothing is new.
   bool sync();
-  const DiskProblem &lastProblem() const { return LastProblem; }
+  const DiskError &lastProblem() const { return LastProblem; }
 
 private:
   std::string path(const std::string &Name) const;
@@ -70,7 +70,7 @@
   bool IsDirty = false;
   uint64_t WrittenBytes = 0; ///< Of the log file.
   uint64_t SyncedBytes = 0;
-  DiskProblem LastProblem;
+  DiskError LastProblem;
 };
 
 /// Bytes of one record as they stand in the log file.
--- a/tests/replication/test_disk_log.cpp
+++ b/tests/replication/test_disk_log.cpp
@@ -51,7 +51,7 @@
 /// Writes a formed log with entries 2 to \p Last.
 void writeLog(const std::string &Folder, uint64_t Last) {
   DiskLog disk(Folder);
-  DiskProblem problem;
+  DiskError problem;
   REQUIRE(disk.open(problem));
   REQUIRE(disk.replace(firstSnapshot(), {}, {}));
   REQUIRE(disk.append(stateRecord(3, 77)));
@@ -77,7 +77,7 @@
   TestFolder folder;
   writeLog(folder.Path, 9);
   DiskLog disk(folder.Path);
-  DiskProblem problem;
+  DiskError problem;
   auto content = disk.open(problem);
   REQUIRE(content);
   CHECK_FALSE(content->IsBlank);
@@ -90,7 +90,7 @@
 
 TEST_CASE("disk log keeps its identity and a new folder gets a new one") {
   TestFolder folder;
-  DiskProblem problem;
+  DiskError problem;
   uint64_t first = DiskLog(folder.Path).open(problem)->Identity;
   CHECK(DiskLog(folder.Path).open(problem)->Identity == first);
   files::remove_all(folder.Path);
@@ -102,7 +102,7 @@
 TEST_CASE("disk log replaces a conflicting end") {
   TestFolder folder;
   writeLog(folder.Path, 9);
-  DiskProblem problem;
+  DiskError problem;
   {
     DiskLog disk(folder.Path);
     REQUIRE(disk.open(problem));
@@ -124,7 +124,7 @@
   size_t entryEnd = whole.size();
   for (size_t cut = 1; cut < whole.size() - last; ++cut) {
     writeBytes(path, whole.substr(0, whole.size() - cut));
-    DiskProblem problem;
+    DiskError problem;
     auto content = DiskLog(folder.Path).open(problem);
     INFO("cut " << cut << " " << problem.Reason);
     REQUIRE(content);
@@ -138,7 +138,7 @@
   for (size_t cut = 1; cut < last; ++cut) {
     writeBytes(path, whole.substr(0, entryEnd - cut));
     DiskLog disk(folder.Path);
-    DiskProblem problem;
+    DiskError problem;
     auto content = disk.open(problem);
     INFO("cut " << cut << " " << problem.Reason);
     REQUIRE(content);
@@ -162,7 +162,7 @@
   size_t synced = readBytes(path).size();
   {
     DiskLog disk(folder.Path);
-    DiskProblem problem;
+    DiskError problem;
     REQUIRE(disk.open(problem));
     REQUIRE(disk.append(entryRecord(5, 3)));
     REQUIRE(disk.append(entryRecord(6, 3)));
@@ -171,7 +171,7 @@
   REQUIRE(holed.size() > synced + 8);
   holed.replace(synced, 8, 8, '\0');
   writeBytes(path, holed);
-  DiskProblem problem;
+  DiskError problem;
   auto content = DiskLog(folder.Path).open(problem);
   INFO(problem.Reason);
   REQUIRE(content);
@@ -199,7 +199,7 @@
     std::string damaged = whole;
     damaged[it.Offset] = static_cast<char>(damaged[it.Offset] ^ 0x40);
     writeBytes(path, damaged);
-    DiskProblem problem;
+    DiskError problem;
     CHECK_FALSE(DiskLog(folder.Path).open(problem));
     CHECK(problem.Reason.find("damaged") != std::string::npos);
     CHECK(readBytes(path) == damaged);
@@ -225,7 +225,7 @@
       files::remove(path);
     else
       writeBytes(path, "zzzzzzzzzzzzzzzzzzzz");
-    DiskProblem problem;
+    DiskError problem;
     CHECK_FALSE(DiskLog(folder.Path).open(problem));
     CHECK_FALSE(problem.Reason.empty());
   }
@@ -237,7 +237,7 @@
   // A generation that CURRENT does not name yet is not there.
   writeBytes(folder.Path + "/snapshot-2", "half");
   writeBytes(folder.Path + "/log-2.new", "half");
-  DiskProblem problem;
+  DiskError problem;
   auto content = DiskLog(folder.Path).open(problem);
   REQUIRE(content);
   CHECK(content->Entries.size() == 8);
@@ -246,7 +246,7 @@
 TEST_CASE("disk log replaces all at once") {
   TestFolder folder;
   writeLog(folder.Path, 9);
-  DiskProblem problem;
+  DiskError problem;
   {
     DiskLog disk(folder.Path);
     auto content = disk.open(problem);
@@ -268,7 +268,7 @@
 
 TEST_CASE("disk log gives a folder to one process only") {
   TestFolder folder;
-  DiskProblem problem;
+  DiskError problem;
   DiskLog first(folder.Path);
   REQUIRE(first.open(problem));
   CHECK_FALSE(DiskLog(folder.Path).open(problem));
