--- a/control/control_shell.cpp
+++ b/control/control_shell.cpp
@@ -116,9 +116,9 @@
 void ControlShell::abortOnDiskFailure(bool IsWritten) {
   if (IsWritten)
     return;
-  logEvent(LogLevel::Error, "disk_failed",
-           {{"file", Disk.lastProblem().File},
-            {"reason", Disk.lastProblem().Reason}});
+  logEvent(
+      LogLevel::Error, "disk_failed",
+      {{"file", Disk.lastError().File}, {"reason", Disk.lastError().Reason}});
   std::abort();
 }
 
--- a/control/serving_group.cpp
+++ b/control/serving_group.cpp
@@ -102,9 +102,9 @@
 /// continue without it.
 void ServingGroup::Impl::handleDiskFailure() {
   Counts.count("disk_failures_total");
-  logEvent(LogLevel::Error, "disk_failed",
-           {{"file", Disk->lastProblem().File},
-            {"reason", Disk->lastProblem().Reason}});
+  logEvent(
+      LogLevel::Error, "disk_failed",
+      {{"file", Disk->lastError().File}, {"reason", Disk->lastError().Reason}});
   for (const PendingWrite &it : Store->Pending)
     postResult({it.Number, StoreOutcome::Unavailable, 0, {}});
   Store.reset();
--- a/replication/disk_log.h
+++ b/replication/disk_log.h
@@ -50,7 +50,7 @@
                const std::vector<wire::LogEntry> &Entries);
   /// Waits until all records are on the disk. Cheap when nothing is new.
   bool sync();
-  const DiskError &lastProblem() const { return LastProblem; }
+  const DiskError &lastError() const { return LastProblem; }
 
 private:
   std::string path(const std::string &Name) const;
