--- a/control/control_shell.cpp
+++ b/control/control_shell.cpp
@@ -161,7 +161,7 @@
   logEvent(LogLevel::Info, "role_changed",
            {{"term", std::to_string(LastTerm)},
             {"leader", isLeader ? "yes" : "no"},
-            {"waits_for", waitsFor(State.Raft)}});
+            {"waits_for", describeLeaderWait(State.Raft)}});
 }
 
 void ControlShell::exit() {
--- a/replication/group_status.cpp
+++ b/replication/group_status.cpp
@@ -61,7 +61,7 @@
   return sound > quorum ? sound - quorum : 0;
 }
 
-std::string waitsFor(const RaftState &State) {
+std::string describeLeaderWait(const RaftState &State) {
   // A blank member is told of leaders, but has none before it is taken in.
   if (State.Role == RaftRole::Blank)
     return "a leader to take it in; its data folder was empty";
@@ -85,7 +85,7 @@
   Out.set_is_leader(canPropose(State, Now));
   Out.set_leader_address(leaderAddress(State));
   Out.set_term(State.Term);
-  Out.set_waits_for(waitsFor(State));
+  Out.set_waits_for(describeLeaderWait(State));
   for (const wire::Member &it : State.Members)
     *Out.add_members() = it;
   if (!Out.is_leader())
--- a/replication/group_status.h
+++ b/replication/group_status.h
@@ -17,7 +17,7 @@
 /// entries counted as lost already. Leader only.
 size_t lossesBorne(const RaftState &State, TimePoint Now);
 /// What a member without a leader waits for, or empty when it has one.
-std::string waitsFor(const RaftState &State);
+std::string describeLeaderWait(const RaftState &State);
 
 } // namespace sassafras
 
--- a/tests/replication/test_group_status.cpp
+++ b/tests/replication/test_group_status.cpp
@@ -83,18 +83,20 @@
 
 TEST_CASE("member without a leader says what it waits for") {
   RaftState state = makeLeader();
-  CHECK(waitsFor(state).empty());
+  CHECK(describeLeaderWait(state).empty());
   state.Role = RaftRole::Follower;
   state.Leader = 0;
-  CHECK(waitsFor(state) == "1 of these voters: member-2, member-3");
+  CHECK(describeLeaderWait(state) == "1 of these voters: member-2, member-3");
   // Members that founded the group or came back in another order.
   std::swap(state.Members[1], state.Members[2]);
-  CHECK(waitsFor(state) == "1 of these voters: member-2, member-3");
+  CHECK(describeLeaderWait(state) == "1 of these voters: member-2, member-3");
   RaftState blank = makeBlankRaft({"member-1", 1, "a:1"}, {}, 7, Start);
-  CHECK(waitsFor(blank).find("data folder was empty") != std::string::npos);
+  CHECK(describeLeaderWait(blank).find("data folder was empty") !=
+        std::string::npos);
   // It was told of a leader that was lost before it took this member in.
   blank.Leader = 3;
-  CHECK(waitsFor(blank).find("data folder was empty") != std::string::npos);
+  CHECK(describeLeaderWait(blank).find("data folder was empty") !=
+        std::string::npos);
 }
 
 // A member that came back without its disk was taken in by a leader that was
@@ -108,9 +110,10 @@
   state.ElectionDeadline = Start + Millis(500);
   RaftEffects out;
   tickRaft(state, Start + Millis(400), out);
-  CHECK(waitsFor(state).empty());
+  CHECK(describeLeaderWait(state).empty());
   tickRaft(state, Start + Millis(600), out);
-  CHECK(waitsFor(state) == "a leader to take it in; it has no vote yet");
+  CHECK(describeLeaderWait(state) ==
+        "a leader to take it in; it has no vote yet");
   CHECK(state.Role == RaftRole::Follower);
 }
 
@@ -130,5 +133,5 @@
   // Its lease ends before the change is acknowledged.
   state.Role = RaftRole::Follower;
   state.Leader = 0;
-  CHECK(waitsFor(state) == "1 of these voters: member-3");
+  CHECK(describeLeaderWait(state) == "1 of these voters: member-3");
 }
