--- a/control/serving_group.cpp
+++ b/control/serving_group.cpp
@@ -86,7 +86,7 @@
   raft.MayForm = Options.MayForm;
   raft.MayJoin = true;
   if (!JoinAddresses.empty())
-    raft.GreetAddresses = JoinAddresses;
+    raft.ContactAddresses = JoinAddresses;
   logEvent(LogLevel::Info, "folder_read",
            {{"blank", content->IsBlank ? "yes" : "no"},
             {"truncated_bytes", std::to_string(content->TornBytes)},
--- a/control/serving_store.cpp
+++ b/control/serving_store.cpp
@@ -178,7 +178,7 @@
   } else if (auto *read = std::get_if<StoreRead>(&Event)) {
     handleRead(Store, *read, Now, Out);
   } else if (auto *join = std::get_if<StoreJoinAddresses>(&Event)) {
-    Store.Raft.GreetAddresses = join->Addresses;
+    Store.Raft.ContactAddresses = join->Addresses;
   } else if (auto *status = std::get_if<StoreStatusRequest>(&Event)) {
     sendStatusReply(Store, *status, Now, Out);
   } else if (std::holds_alternative<StoreStop>(Event)) {
--- a/replication/raft.cpp
+++ b/replication/raft.cpp
@@ -627,7 +627,7 @@
   State.NextAppend = Now + State.Self.Timing.Append;
   wire::Envelope message;
   *message.mutable_blank_hello() = makeHello(State);
-  for (const std::string &it : State.GreetAddresses)
+  for (const std::string &it : State.ContactAddresses)
     if (it != State.Self.Address)
       send(Out, it, message);
   receive(State, message.blank_hello(), State.Self.Name, Now, Out);
@@ -640,7 +640,7 @@
   State.NextGreeting = Now + 2 * State.Self.Timing.Append;
   wire::Envelope message;
   *message.mutable_blank_hello() = makeHello(State);
-  for (const std::string &it : State.GreetAddresses)
+  for (const std::string &it : State.ContactAddresses)
     if (it != State.Self.Address)
       send(Out, it, message);
 }
@@ -672,7 +672,7 @@
   RaftState state;
   state.Self = std::move(Self);
   state.SeedAddresses = std::move(SeedAddresses);
-  state.GreetAddresses = state.SeedAddresses;
+  state.ContactAddresses = state.SeedAddresses;
   state.Random.seed(Seed);
   state.NextAppend = Now;
   return state;
--- a/replication/raft.h
+++ b/replication/raft.h
@@ -71,7 +71,7 @@
   std::map<std::string, wire::BlankHello> BlankPeers;
   std::vector<std::string> SeedAddresses; ///< Control addresses of settings.
   /// Where a member without a leader asks to be taken in; the seeds at first.
-  std::vector<std::string> GreetAddresses;
+  std::vector<std::string> ContactAddresses;
   bool MayForm = true;  ///< A blank member may form the first configuration.
   bool MayJoin = false; ///< It may join under a name that is not known.
   TimePoint NextGreeting;
