--- a/replication/disk_log.cpp
+++ b/replication/disk_log.cpp
@@ -15,10 +15,11 @@
 
 namespace {
 
-/// Start of each record; a search for it tells a torn end from damage.
-constexpr char RecordMark[4] = {'\x5a', 'S', 'F', '1'};
-constexpr size_t MarkSize = sizeof RecordMark;
-constexpr size_t HeaderSize = MarkSize + sizeof(uint32_t) + sizeof(uint64_t);
+/// Magic number at the start of each record. A search for it behind an invalid
+/// record distinguishes a torn end of the log from damage.
+constexpr char RecordMagic[4] = {'\x5a', 'S', 'F', '1'};
+constexpr size_t MagicSize = sizeof RecordMagic;
+constexpr size_t HeaderSize = MagicSize + sizeof(uint32_t) + sizeof(uint64_t);
 constexpr const char *IdentityName = "identity";
 constexpr const char *CurrentName = "CURRENT";
 constexpr const char *LockName = "lock";
@@ -53,18 +54,19 @@
   return out.str();
 }
 
-/// Size of the valid record at \p Offset, or 0 when there is none.
-size_t recordAt(std::string_view Bytes, size_t Offset,
-                wire::DiskRecord &Record) {
+/// Parses the record at \p Offset and returns its size in bytes, or 0 if there
+/// is no valid record.
+size_t parseRecordAt(std::string_view Bytes, size_t Offset,
+                     wire::DiskRecord &Record) {
   if (Offset > Bytes.size() || Bytes.size() - Offset < HeaderSize)
     return 0;
   const char *start = Bytes.data() + Offset;
-  if (std::memcmp(start, RecordMark, MarkSize) != 0)
+  if (std::memcmp(start, RecordMagic, MagicSize) != 0)
     return 0;
   uint32_t size = 0;
   uint64_t checksum = 0;
-  std::memcpy(&size, start + MarkSize, sizeof size);
-  std::memcpy(&checksum, start + MarkSize + sizeof size, sizeof checksum);
+  std::memcpy(&size, start + MagicSize, sizeof size);
+  std::memcpy(&checksum, start + MagicSize + sizeof size, sizeof checksum);
   if (size > Bytes.size() - Offset - HeaderSize)
     return 0;
   std::string_view payload = Bytes.substr(Offset + HeaderSize, size);
@@ -75,20 +77,20 @@
   return HeaderSize + size;
 }
 
-/// True when a record after \p Offset was written once the bytes there were
-/// synced: a loss of power cannot have torn them.
+/// True if a record after \p Offset states that the bytes at \p Offset were
+/// synced before it was written. A power loss cannot have torn those bytes.
 bool wasSynced(std::string_view Bytes, size_t Offset) {
-  std::string_view mark(RecordMark, MarkSize);
+  std::string_view magic(RecordMagic, MagicSize);
   wire::DiskRecord record;
-  for (size_t n = Bytes.find(mark, Offset); n != std::string_view::npos;
-       n = Bytes.find(mark, n + 1))
-    if (recordAt(Bytes, n, record) > 0 && record.synced_bytes() > Offset)
+  for (size_t n = Bytes.find(magic, Offset); n != std::string_view::npos;
+       n = Bytes.find(magic, n + 1))
+    if (parseRecordAt(Bytes, n, record) > 0 && record.synced_bytes() > Offset)
       return true;
   return false;
 }
 
 std::string frame(const std::string &Payload) {
-  std::string out(RecordMark, MarkSize);
+  std::string out(RecordMagic, MagicSize);
   auto size = static_cast<uint32_t>(Payload.size());
   uint64_t checksum = checksumOf(Payload);
   out.append(reinterpret_cast<const char *>(&size), sizeof size);
@@ -96,8 +98,9 @@
   return out + Payload;
 }
 
-/// Takes one record into what was read so far; false when it cannot follow.
-bool takeRecord(wire::DiskRecord &Record, DiskContent &Content) {
+/// Applies one log record to the content read so far. An entry replaces the
+/// entries from its index on. Returns false if the entry's index leaves a gap.
+bool applyRecord(wire::DiskRecord &Record, DiskContent &Content) {
   if (Record.has_hard_state()) {
     Content.HardState = Record.hard_state();
     return true;
@@ -135,7 +138,7 @@
 }
 
 bool DiskLog::fail(const std::string &File, const std::string &Reason) {
-  LastProblem = {path(File), Reason};
+  LastError = {path(File), Reason};
   return false;
 }
 
@@ -168,11 +171,11 @@
     uint64_t identity = std::strtoull(text->c_str(), nullptr, 16);
     if (identity != 0)
       return identity;
-    fail(IdentityName, "is damaged");
+    fail(IdentityName, "damaged: no nonzero hexadecimal number");
     return std::nullopt;
   }
   if (std::filesystem::exists(path(CurrentName))) {
-    fail(IdentityName, "is missing beside a log");
+    fail(IdentityName, "missing, although the folder contains a log");
     return std::nullopt;
   }
   uint64_t identity = drawIdentity();
@@ -185,19 +188,19 @@
 }
 
 bool DiskLog::readLog(const std::string &Bytes, DiskContent &Content,
-                      uint64_t &GoodSize) {
-  GoodSize = 0;
+                      uint64_t &ValidSize) {
+  ValidSize = 0;
   wire::DiskRecord record;
-  while (size_t n = recordAt(Bytes, GoodSize, record)) {
-    if (!takeRecord(record, Content))
-      return fail(logName(Generation),
-                  "has a gap at byte " + std::to_string(GoodSize));
-    GoodSize += n;
+  while (size_t n = parseRecordAt(Bytes, ValidSize, record)) {
+    if (!applyRecord(record, Content))
+      return fail(logName(Generation), "entry index leaves a gap at byte " +
+                                           std::to_string(ValidSize));
+    ValidSize += n;
   }
-  if (GoodSize < Bytes.size() && wasSynced(Bytes, GoodSize))
-    return fail(logName(Generation),
-                "is damaged at byte " + std::to_string(GoodSize));
-  Content.TornBytes = Bytes.size() - GoodSize;
+  if (ValidSize < Bytes.size() && wasSynced(Bytes, ValidSize))
+    return fail(logName(Generation), "damaged record in synced data at byte " +
+                                         std::to_string(ValidSize));
+  Content.TornBytes = Bytes.size() - ValidSize;
   return true;
 }
 
@@ -217,19 +220,19 @@
   return true;
 }
 
-std::optional<DiskContent> DiskLog::open(DiskError &Problem) {
+std::optional<DiskContent> DiskLog::open(DiskError &Error) {
   DiskContent content;
   std::error_code ec;
   std::filesystem::create_directories(Folder, ec);
   LockFile = ::open(path(LockName).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
   if (LockFile < 0 || ::flock(LockFile, LOCK_EX | LOCK_NB) != 0) {
-    fail(LockName, "another process holds the folder, or it is unusable");
-    Problem = LastProblem;
+    fail(LockName, "folder is not usable or locked by another process");
+    Error = LastError;
     return std::nullopt;
   }
   auto identity = readIdentity();
   if (!identity) {
-    Problem = LastProblem;
+    Error = LastError;
     return std::nullopt;
   }
   content.Identity = *identity;
@@ -240,23 +243,23 @@
   auto snapshot = readFile(path(snapshotName(Generation)));
   auto log = readFile(path(logName(Generation)));
   if (!snapshot || !log) {
-    fail(CurrentName, "names files that are missing");
-    Problem = LastProblem;
+    fail(CurrentName, "snapshot or log of the active generation is missing");
+    Error = LastError;
     return std::nullopt;
   }
   uint64_t checksum = 0;
-  bool isWhole = snapshot->size() >= sizeof checksum;
-  if (isWhole) {
+  bool isValid = snapshot->size() >= sizeof checksum;
+  if (isValid) {
     std::memcpy(&checksum, snapshot->data(), sizeof checksum);
     snapshot->erase(0, sizeof checksum);
-    isWhole = checksumOf(*snapshot) == checksum &&
+    isValid = checksumOf(*snapshot) == checksum &&
               content.Snapshot.ParseFromString(*snapshot);
   }
-  uint64_t goodSize = 0;
-  if (!isWhole)
-    fail(snapshotName(Generation), "is damaged");
-  if (!isWhole || !readLog(*log, content, goodSize) || !openLog(goodSize)) {
-    Problem = LastProblem;
+  uint64_t validSize = 0;
+  if (!isValid)
+    fail(snapshotName(Generation), "damaged: checksum or format mismatch");
+  if (!isValid || !readLog(*log, content, validSize) || !openLog(validSize)) {
+    Error = LastError;
     return std::nullopt;
   }
   content.IsBlank = false;
@@ -284,7 +287,8 @@
   if (::fdatasync(LogFile) != 0)
     return fail(logName(Generation), std::strerror(errno));
   SyncedBytes = WrittenBytes;
-  // An empty record tells that all before it was synced; it need not last.
+  // An empty record states that everything before it was synced. It need not
+  // be durable itself.
   return write({});
 }
 
--- a/replication/disk_log.h
+++ b/replication/disk_log.h
@@ -1,8 +1,9 @@
 /// \file
-/// The files of one control member: identity, snapshot and write-ahead log.
+/// Durable storage of one group member: identity, snapshot and write-ahead log.
 ///
-/// A generation is a snapshot and a log; the file CURRENT names the one in
-/// force and is replaced by rename, so a crash leaves one or the other.
+/// A generation consists of a snapshot file and a log file. The file CURRENT
+/// holds the number of the active generation and is replaced by an atomic
+/// rename, so that a crash leaves either the old or the new generation active.
 #ifndef SASSAFRAS_REPLICATION_DISK_LOG_H
 #define SASSAFRAS_REPLICATION_DISK_LOG_H
 
@@ -14,24 +15,24 @@
 
 namespace sassafras {
 
-/// Why files could not be read or written.
+/// Failure to read or write a file of the data folder.
 struct DiskError {
   std::string File;
   std::string Reason;
 };
 
-/// What the folder held at the start.
+/// Content of the data folder as read by DiskLog::open.
 struct DiskContent {
   uint64_t Identity = 0;
-  bool IsBlank = true; ///< No snapshot yet: the member never voted.
+  bool IsBlank = true; ///< No generation yet: the member has never voted.
   wire::Snapshot Snapshot;
   wire::HardState HardState;
   std::vector<wire::LogEntry> Entries;
-  uint64_t TornBytes = 0; ///< Cut from the end of the log.
+  uint64_t TornBytes = 0; ///< Truncated from the end of the log.
 };
 
-/// Writer of one data folder. Not thread safe; one process at a time, which
-/// a lock on the folder enforces.
+/// Reader and writer of one data folder. Not thread-safe. A file lock ensures
+/// that only one process uses the folder at a time.
 class DiskLog {
 public:
   explicit DiskLog(std::string Folder);
@@ -39,18 +40,22 @@
   DiskLog(const DiskLog &) = delete;
   DiskLog &operator=(const DiskLog &) = delete;
 
-  /// Reads the folder, creating it and an identity when it is new. Nothing
-  /// on failure, with the cause in \p Problem: what was never synced may be
-  /// torn anywhere and is cut; damage to what was synced is a failure.
-  std::optional<DiskContent> open(DiskError &Problem);
-  /// Adds a record; it lasts once sync has returned true.
+  /// Reads the folder. Creates the folder and a new identity if there is none.
+  /// Records that were never synced may be torn anywhere and are truncated;
+  /// damage to synced records is an error. Returns std::nullopt on error, with
+  /// the cause in \p Error.
+  std::optional<DiskContent> open(DiskError &Error);
+  /// Writes a record, which is durable once sync() has returned true.
+  /// Precondition: the folder has a generation.
   bool append(const wire::DiskRecord &Record);
-  /// Replaces everything by a new generation; synced on return.
+  /// Replaces the snapshot and the log by a new generation, which is durable
+  /// on return.
   bool replace(const wire::Snapshot &Snapshot, const wire::HardState &HardState,
                const std::vector<wire::LogEntry> &Entries);
-  /// Waits until all records are on the disk. Cheap when nothing is new.
+  /// Waits until all appended records are durable. Returns at once if there are
+  /// none since the last call.
   bool sync();
-  const DiskError &lastError() const { return LastProblem; }
+  const DiskError &lastError() const { return LastError; }
 
 private:
   std::string path(const std::string &Name) const;
@@ -61,19 +66,20 @@
   bool write(wire::DiskRecord Record);
   std::optional<uint64_t> readIdentity();
   bool readLog(const std::string &Bytes, DiskContent &Content,
-               uint64_t &GoodSize);
+               uint64_t &ValidSize);
 
   std::string Folder;
   uint64_t Generation = 0;
   int LogFile = -1;
   int LockFile = -1;
   bool IsDirty = false;
-  uint64_t WrittenBytes = 0; ///< Of the log file.
-  uint64_t SyncedBytes = 0;
-  DiskError LastProblem;
+  uint64_t WrittenBytes = 0; ///< Size of the log file.
+  uint64_t SyncedBytes = 0;  ///< Durable part of it, from the start.
+  DiskError LastError;
 };
 
-/// Bytes of one record as they stand in the log file.
+/// Encodes one record as it is stored in the log file: magic number, payload
+/// size, checksum and payload.
 std::string encodeRecord(const wire::DiskRecord &Record);
 
 } // namespace sassafras
--- a/tests/replication/test_disk_log.cpp
+++ b/tests/replication/test_disk_log.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Contract of the files of a control member: what lasts, what a torn or
-/// damaged file does, and that a folder belongs to one process.
+/// Tests of a member's data folder: which records are durable, how torn and
+/// damaged files are handled, and that one process at a time uses the folder.
 #include "replication/disk_log.h"
 
 #include <catch2/catch.hpp>
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// A folder of its own that goes away with the test.
+/// A temporary folder that is deleted at the end of the test.
 struct TestFolder {
   TestFolder() {
     std::string pattern =
@@ -48,7 +48,8 @@
   return snapshot;
 }
 
-/// Writes a formed log with entries 2 to \p Last.
+/// Writes a generation whose snapshot ends at index 1 and whose log holds the
+/// entries 2 to \p Last, all synced.
 void writeLog(const std::string &Folder, uint64_t Last) {
   DiskLog disk(Folder);
   DiskError problem;
@@ -73,7 +74,7 @@
 
 } // namespace
 
-TEST_CASE("disk log gives back what was synced") {
+TEST_CASE("disk log returns what was synced") {
   TestFolder folder;
   writeLog(folder.Path, 9);
   DiskLog disk(folder.Path);
@@ -88,7 +89,7 @@
   CHECK(content->TornBytes == 0);
 }
 
-TEST_CASE("disk log keeps its identity and a new folder gets a new one") {
+TEST_CASE("disk log keeps its identity, and a new folder gets a new identity") {
   TestFolder folder;
   DiskError problem;
   uint64_t first = DiskLog(folder.Path).open(problem)->Identity;
@@ -99,7 +100,7 @@
   CHECK(content->Identity != first);
 }
 
-TEST_CASE("disk log replaces a conflicting end") {
+TEST_CASE("disk log drops the entries after one that replaces an index") {
   TestFolder folder;
   writeLog(folder.Path, 9);
   DiskError problem;
@@ -114,13 +115,13 @@
   CHECK(content->Entries.back().term() == 4);
 }
 
-TEST_CASE("disk log cuts a torn end at every byte") {
+TEST_CASE("disk log truncates an end that is torn at any byte") {
   TestFolder folder;
   writeLog(folder.Path, 4);
   std::string path = folder.Path + "/log-1";
   std::string whole = readBytes(path);
   size_t last = encodeRecord(entryRecord(4, 3)).size();
-  // After the last entry stands the record that tells of its sync.
+  // The last entry is followed by the empty record that marks its sync.
   size_t entryEnd = whole.size();
   for (size_t cut = 1; cut < whole.size() - last; ++cut) {
     writeBytes(path, whole.substr(0, whole.size() - cut));
@@ -143,19 +144,19 @@
     INFO("cut " << cut << " " << problem.Reason);
     REQUIRE(content);
     CHECK(content->Entries.size() == 2);
-    // What is written next must not follow the torn bytes.
+    // The next record must overwrite the torn bytes, not follow them.
     REQUIRE(disk.append(entryRecord(4, 5)));
     REQUIRE(disk.sync());
-    std::string mended = readBytes(path);
-    CHECK(mended.substr(0, entryEnd - last) ==
+    std::string rewritten = readBytes(path);
+    CHECK(rewritten.substr(0, entryEnd - last) ==
           whole.substr(0, entryEnd - last));
-    CHECK(mended.find(encodeRecord(entryRecord(4, 3))) == std::string::npos);
+    CHECK(rewritten.find(encodeRecord(entryRecord(4, 3))) == std::string::npos);
   }
 }
 
-// A loss of power may keep a later write and lose an earlier one, as long as
-// neither was synced.
-TEST_CASE("disk log cuts a hole in what was never synced") {
+// A power loss may keep a later write and lose an earlier one if neither was
+// synced.
+TEST_CASE("disk log truncates at a hole in records that were never synced") {
   TestFolder folder;
   writeLog(folder.Path, 4);
   std::string path = folder.Path + "/log-1";
@@ -179,9 +180,9 @@
   CHECK(content->TornBytes > 0);
 }
 
-TEST_CASE("disk log refuses to start on a damaged middle") {
+TEST_CASE("disk log refuses to open a log with damage in synced records") {
   struct Damage {
-    const char *What;
+    const char *Description;
     size_t Offset;
   };
   TestFolder folder;
@@ -189,13 +190,13 @@
   std::string path = folder.Path + "/log-1";
   std::string whole = readBytes(path);
   const Damage cases[] = {
-      {"mark of the first record", 0},
+      {"magic number of the first record", 0},
       {"length of the first record", 5},
       {"checksum", 10},
       {"payload in the middle", whole.size() / 2},
   };
   for (const Damage &it : cases) {
-    INFO(it.What);
+    INFO(it.Description);
     std::string damaged = whole;
     damaged[it.Offset] = static_cast<char>(damaged[it.Offset] ^ 0x40);
     writeBytes(path, damaged);
@@ -206,7 +207,7 @@
   }
 }
 
-TEST_CASE("disk log refuses a folder with missing or damaged parts") {
+TEST_CASE("disk log refuses to open a folder with missing or damaged files") {
   struct Loss {
     const char *File;
     bool IsRemoved;
@@ -231,10 +232,10 @@
   }
 }
 
-TEST_CASE("disk log survives a stop between the files of a new generation") {
+TEST_CASE("disk log survives a crash between the files of a new generation") {
   TestFolder folder;
   writeLog(folder.Path, 9);
-  // A generation that CURRENT does not name yet is not there.
+  // A generation that CURRENT does not name yet is ignored.
   writeBytes(folder.Path + "/snapshot-2", "half");
   writeBytes(folder.Path + "/log-2.new", "half");
   DiskError problem;
@@ -243,7 +244,7 @@
   CHECK(content->Entries.size() == 8);
 }
 
-TEST_CASE("disk log replaces all at once") {
+TEST_CASE("disk log replaces snapshot and log by a new generation") {
   TestFolder folder;
   writeLog(folder.Path, 9);
   DiskError problem;
@@ -266,7 +267,7 @@
   CHECK_FALSE(files::exists(folder.Path + "/log-1"));
 }
 
-TEST_CASE("disk log gives a folder to one process only") {
+TEST_CASE("disk log locks the folder against a second process") {
   TestFolder folder;
   DiskError problem;
   DiskLog first(folder.Path);
