--- a/replication/group_status.cpp
+++ b/replication/group_status.cpp
@@ -29,9 +29,9 @@
   return out;
 }
 
-/// True when \p Member could at once take part in electing a leader that has
-/// all that was acknowledged.
-bool counts(const RaftState &State, const wire::MemberStatus &Member) {
+/// True if \p Member could vote at once for a leader that holds all
+/// acknowledged entries: it is a voter, is heard and has all committed entries.
+bool isInSync(const RaftState &State, const wire::MemberStatus &Member) {
   return Member.member().voter() && Member.is_heard() &&
          lastIndex(State) - Member.missing() >= State.Commit;
 }
@@ -43,7 +43,7 @@
   return n;
 }
 
-/// True when this member votes in the newest configuration that it knows.
+/// True if this member is a voter in the newest configuration that it knows.
 bool hasVote(const RaftState &State) {
   return std::any_of(
       State.Members.begin(), State.Members.end(), [&](const wire::Member &it) {
@@ -53,23 +53,24 @@
 
 } // namespace
 
-size_t lossesBorne(const RaftState &State, TimePoint Now) {
-  size_t sound = 0;
+size_t countToleratedFailures(const RaftState &State, TimePoint Now) {
+  size_t inSync = 0;
   for (const wire::Member &it : State.Members)
-    sound += counts(State, describeMember(State, it, Now));
+    inSync += isInSync(State, describeMember(State, it, Now));
   size_t quorum = countVoters(State) / 2 + 1;
-  return sound > quorum ? sound - quorum : 0;
+  return inSync > quorum ? inSync - quorum : 0;
 }
 
 std::string describeLeaderWait(const RaftState &State) {
-  // A blank member is told of leaders, but has none before it is taken in.
+  // A blank member learns of leaders, but follows none until one has added it
+  // to the group.
   if (State.Role == RaftRole::Blank)
     return "a leader to take it in; its data folder was empty";
   if (State.Leader != 0)
     return {};
   if (!hasVote(State))
     return "a leader to take it in; it has no vote yet";
-  // By name: members keep the order in which they joined, which is any.
+  // Sorted by name, since the order of members is that in which they joined.
   std::set<std::string> names;
   for (const wire::Member &it : State.Members)
     if (it.voter() && it.identity() != State.Self.Identity)
@@ -92,7 +93,8 @@
     return;
   for (const wire::Member &it : State.Members)
     *Out.add_member_states() = describeMember(State, it, Now);
-  Out.set_losses_borne(static_cast<uint32_t>(lossesBorne(State, Now)));
+  Out.set_losses_borne(
+      static_cast<uint32_t>(countToleratedFailures(State, Now)));
 }
 
 } // namespace sassafras
--- a/replication/group_status.h
+++ b/replication/group_status.h
@@ -1,6 +1,6 @@
 /// \file
-/// What an operator needs to know of a replicated group: who counts, who is
-/// heard, and how many more losses it bears now.
+/// Status of a replicated group for operators: its members, which of them
+/// reply, and how many more voters may fail without loss of the quorum.
 #ifndef SASSAFRAS_REPLICATION_GROUP_STATUS_H
 #define SASSAFRAS_REPLICATION_GROUP_STATUS_H
 
@@ -8,15 +8,16 @@
 
 namespace sassafras {
 
-/// Fills in the group's part of \p Out: leader, term, members. The leader
-/// adds what it knows of each member and the losses that are borne; a member
-/// without a leader adds what it waits for.
+/// Sets the fields of \p Out that describe the group: leader, term, members.
+/// The leader adds the state of each member and the number of tolerated
+/// failures; a member without a leader adds what it waits for.
 void fillGroupStatus(const RaftState &State, TimePoint Now,
                      wire::StatusReply &Out);
-/// Voters that may be lost now, those that are silent or lack committed
-/// entries counted as lost already. Leader only.
-size_t lossesBorne(const RaftState &State, TimePoint Now);
-/// What a member without a leader waits for, or empty when it has one.
+/// Returns how many more voters may fail now. Voters that are silent or lack
+/// committed entries count as failed already. Precondition: this member leads.
+size_t countToleratedFailures(const RaftState &State, TimePoint Now);
+/// Returns what a member without a leader waits for, or an empty string if it
+/// has a leader.
 std::string describeLeaderWait(const RaftState &State);
 
 } // namespace sassafras
--- a/tests/replication/test_group_status.cpp
+++ b/tests/replication/test_group_status.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What `status` says of a replicated group while members come and go.
+/// Tests of the status of a replicated group while members come and go.
 #include "replication/group_status.h"
 
 #include <catch2/catch.hpp>
@@ -41,22 +41,22 @@
 
 } // namespace
 
-TEST_CASE("losses that are borne count only voters that are heard and have all "
-          "that was committed") {
+TEST_CASE("tolerated failures count only voters that are heard and have all "
+          "committed entries") {
   struct Case {
-    const char *What;
-    size_t Losses;
+    const char *Description;
+    size_t Failures;
     std::function<void(RaftState &)> Change;
   };
   const Case cases[] = {
-      {"all are well", 1, [](RaftState &) {}},
+      {"all are in sync", 1, [](RaftState &) {}},
       {"one is silent", 0,
        [](RaftState &it) {
          it.Peers[3].HeardAt = Start - std::chrono::seconds(10);
        }},
-      {"one lacks an entry", 0,
+      {"one lacks a committed entry", 0,
        [](RaftState &it) { it.Peers[3].MatchIndex = 9; }},
-      {"one was replaced by an identity that was never heard", 0,
+      {"one was replaced by a new identity that has not replied yet", 0,
        [](RaftState &it) { it.Members[2] = makeMember(9); }},
       {"a learner does not count", 1,
        [](RaftState &it) {
@@ -74,10 +74,10 @@
        [](RaftState &it) { it.Members.push_back(makeMember(4)); }},
   };
   for (const Case &it : cases) {
-    INFO(it.What);
+    INFO(it.Description);
     RaftState state = makeLeader();
     it.Change(state);
-    CHECK(lossesBorne(state, Start) == it.Losses);
+    CHECK(countToleratedFailures(state, Start) == it.Failures);
   }
 }
 
@@ -87,22 +87,22 @@
   state.Role = RaftRole::Follower;
   state.Leader = 0;
   CHECK(describeLeaderWait(state) == "1 of these voters: member-2, member-3");
-  // Members that founded the group or came back in another order.
+  // Members are listed by name, also if they joined in another order.
   std::swap(state.Members[1], state.Members[2]);
   CHECK(describeLeaderWait(state) == "1 of these voters: member-2, member-3");
   RaftState blank = makeBlankRaft({"member-1", 1, "a:1"}, {}, 7, Start);
   CHECK(describeLeaderWait(blank).find("data folder was empty") !=
         std::string::npos);
-  // It was told of a leader that was lost before it took this member in.
+  // The member learned of a leader that failed before it added the member.
   blank.Leader = 3;
   CHECK(describeLeaderWait(blank).find("data folder was empty") !=
         std::string::npos);
 }
 
-// A member that came back without its disk was taken in by a leader that was
-// lost before it gave it a vote. It held that leader for alive for ever, and
-// said nothing.
-TEST_CASE("learner whose leader is lost says what it waits for") {
+// A member that returned with an empty data folder was added as a learner by a
+// leader that failed before promoting it. The learner must notice the time-out
+// and report what it waits for; it used to consider that leader alive for ever.
+TEST_CASE("learner whose leader has failed says what it waits for") {
   RaftState state = makeLeader();
   state.Role = RaftRole::Follower;
   state.Leader = state.Members[1].identity();
@@ -117,8 +117,8 @@
   CHECK(state.Role == RaftRole::Follower);
 }
 
-TEST_CASE(
-    "member that began to replace a lost voter waits for the others only") {
+TEST_CASE("member that has started to replace a lost voter waits for the other "
+          "voters only") {
   RaftState state = makeLeader();
   state.Entries.back().mutable_command()->mutable_noop();
   wire::Envelope hello;
@@ -130,7 +130,7 @@
   hello.mutable_blank_hello()->set_is_blank(true);
   RaftEffects out;
   receiveRaft(state, hello, Start, out);
-  // Its lease ends before the change is acknowledged.
+  // The leader steps down before the membership change is acknowledged.
   state.Role = RaftRole::Follower;
   state.Leader = 0;
   CHECK(describeLeaderWait(state) == "1 of these voters: member-3");
