--- a/replication/raft.cpp
+++ b/replication/raft.cpp
@@ -9,13 +9,15 @@
 
 namespace {
 
-/// Parts of the shortest election timeout after which a lost round is tried
-/// again. A vote syncs disks and raises the term, a pre-vote does neither.
-constexpr int VoteRetryPart = 1;
-constexpr int PreVoteRetryPart = 2;
-/// Part of it that a round of pre-votes takes at most: some times the way
-/// between members.
-constexpr int PreVotePart = 10;
+/// The minimum election timeout divided by this is the maximum delay after
+/// which a failed round of votes or pre-votes is repeated. Pre-votes are
+/// repeated sooner, since a vote syncs disks and raises the term and a pre-vote
+/// does neither.
+constexpr int VoteRetryDivisor = 1;
+constexpr int PreVoteRetryDivisor = 2;
+/// The minimum election timeout divided by this is the maximum duration of a
+/// round of pre-votes, several times the delay of messages between members.
+constexpr int PreVoteDurationDivisor = 10;
 
 const wire::Member *findMember(const RaftState &State, uint64_t Identity) {
   for (const wire::Member &it : State.Members)
@@ -37,19 +39,21 @@
 
 size_t quorum(const RaftState &State) { return countVoters(State) / 2 + 1; }
 
-TimePoint drawElectionDeadline(RaftState &State, TimePoint Now) {
+TimePoint randomElectionDeadline(RaftState &State, TimePoint Now) {
   std::uniform_int_distribution<int64_t> spread(
       State.Self.Timing.LeastElection.count(),
       State.Self.Timing.MostElection.count());
   return Now + Millis(spread(State.Random));
 }
 
-/// When a round of votes that nobody won is followed by another one. Members
-/// may have been barred from voting that are not for long: waiting for a whole
-/// election timeout once more would leave the group without a leader.
-TimePoint drawRetryDeadline(RaftState &State, int Part, TimePoint Now) {
-  Millis most = State.Self.Timing.LeastElection / Part;
-  std::uniform_int_distribution<int64_t> spread(most.count() / 3, most.count());
+/// Returns when a round of votes without a winner is followed by another one.
+/// Members that withheld their votes may be free to vote soon after, so waiting
+/// for another full election timeout would leave the group without a leader for
+/// longer than needed.
+TimePoint randomRetryDeadline(RaftState &State, int Divisor, TimePoint Now) {
+  Millis longest = State.Self.Timing.LeastElection / Divisor;
+  std::uniform_int_distribution<int64_t> spread(longest.count() / 3,
+                                                longest.count());
   return Now + Millis(spread(State.Random));
 }
 
@@ -78,7 +82,7 @@
   Out.push_back(std::move(effect));
 }
 
-void findNewestMembers(RaftState &State) {
+void updateMembers(RaftState &State) {
   for (auto it = State.Entries.rbegin(); it != State.Entries.rend(); ++it) {
     if (!it->command().has_member_change())
       continue;
@@ -91,7 +95,7 @@
   State.MembersIndex = State.SnapshotIndex;
 }
 
-/// Appends \p Entry, dropping whatever stood at its index and after.
+/// Stores \p Entry at its index and discards the entries from that index on.
 void storeEntry(RaftState &State, const wire::LogEntry &Entry,
                 RaftEffects &Out) {
   bool isTruncating = Entry.index() <= lastIndex(State);
@@ -99,7 +103,7 @@
     State.Entries.pop_back();
   State.Entries.push_back(Entry);
   if (isTruncating || Entry.command().has_member_change())
-    findNewestMembers(State);
+    updateMembers(State);
   PersistRecord effect;
   *effect.Record.mutable_entry() = Entry;
   Out.push_back(std::move(effect));
@@ -115,7 +119,7 @@
   State.Role = RaftRole::Follower;
   State.Leader = Leader;
   State.LeaseEnd = TimePoint();
-  State.ElectionDeadline = drawElectionDeadline(State, Now);
+  State.ElectionDeadline = randomElectionDeadline(State, Now);
 }
 
 void sendAppend(RaftState &State, const wire::Member &Target, TimePoint Now,
@@ -141,12 +145,13 @@
                                      peer.NextIndex + MaxAppendEntries - 1);
   for (uint64_t i = peer.NextIndex; i <= last; ++i)
     *request.add_entries() = entryAt(State, i);
-  // Sent entries are taken as received; a refusal moves this back.
+  // Pipelining: entries count as received once sent. A negative reply resets
+  // this.
   peer.NextIndex = last + 1;
   send(Out, Target.address(), std::move(message));
 }
 
-/// Starts a new round of appends to all other members.
+/// Starts a new round: sends an append request to each other member.
 void broadcastAppend(RaftState &State, TimePoint Now, RaftEffects &Out) {
   ++State.Round;
   State.RoundSent[State.Round] = Now;
@@ -157,14 +162,15 @@
       sendAppend(State, it, Now, Out);
 }
 
-/// Sends entries that members lack, without waiting for the next round.
+/// Starts to lead the current term: resets the progress of all members, appends
+/// an empty entry, which commits the entries of earlier terms, and sends it.
 void becomeLeader(RaftState &State, TimePoint Now, RaftEffects &Out) {
   State.Role = RaftRole::Leader;
   State.Leader = State.Self.Identity;
   State.Peers.clear();
   State.RoundSent.clear();
   State.LeaseEnd = TimePoint();
-  // Without a quorum's answers by then it steps down again.
+  // The leader steps down if no quorum has replied by then.
   State.ElectionDeadline = Now + State.Self.Timing.MostElection;
   for (const wire::Member &it : State.Members) {
     State.Peers[it.identity()].NextIndex = lastIndex(State) + 1;
@@ -191,7 +197,7 @@
     return;
   std::sort(matched.begin(), matched.end(), std::greater<>());
   uint64_t index = matched[quorum(State) - 1];
-  // Only entries of the own term commit by counting.
+  // Entries of earlier terms are committed only with one of the current term.
   if (index > State.Commit && termAt(State, index) == State.Term)
     State.Commit = index;
 }
@@ -248,7 +254,7 @@
   State.Leader = 0;
   ++State.Term;
   State.VotedFor = State.Self.Identity;
-  State.ElectionDeadline = drawRetryDeadline(State, VoteRetryPart, Now);
+  State.ElectionDeadline = randomRetryDeadline(State, VoteRetryDivisor, Now);
   persistHardState(State, Out);
   State.Votes = {{State.Self.Identity, true}};
   if (countVotes(State) >= quorum(State)) {
@@ -261,8 +267,9 @@
 void startPreVote(RaftState &State, TimePoint Now, RaftEffects &Out) {
   State.Role = RaftRole::PreCandidate;
   State.Leader = 0;
-  State.ElectionDeadline = drawRetryDeadline(State, PreVoteRetryPart, Now);
-  State.PreVoteEnds = Now + State.Self.Timing.LeastElection / PreVotePart;
+  State.ElectionDeadline = randomRetryDeadline(State, PreVoteRetryDivisor, Now);
+  State.PreVoteDeadline =
+      Now + State.Self.Timing.LeastElection / PreVoteDurationDivisor;
   State.Votes = {{State.Self.Identity, true}};
   if (countVotes(State) >= quorum(State)) {
     startElection(State, false, Now, Out);
@@ -283,50 +290,55 @@
   return member ? member->address() : std::string();
 }
 
-/// Of two that ask for pre-votes at the same time and have the same log only
-/// the one of the lower identity goes on, so that they do not split the votes.
-/// Once its round is over it helps the other: it may be unable to win.
-bool isRivalAhead(const RaftState &State, const wire::VoteRequest &Request,
-                  TimePoint Now) {
+/// True if this member denies its pre-vote because it requests pre-votes
+/// itself. Of two such members with the same log, only the one with the lower
+/// identity goes on, so that they do not split the votes. Once its own round of
+/// pre-votes has ended, it grants the other its pre-vote, since it may be
+/// unable to win.
+bool hasPreVotePriority(const RaftState &State,
+                        const wire::VoteRequest &Request, TimePoint Now) {
   bool isSameLog = Request.last_index() == lastIndex(State) &&
                    Request.last_term() == termAt(State, lastIndex(State));
   return State.Role == RaftRole::PreCandidate && isSameLog &&
-         !isPast(State.PreVoteEnds, Now) &&
+         !isPast(State.PreVoteDeadline, Now) &&
          State.Self.Identity < Request.candidate();
 }
 
-/// Whoever was granted a pre-vote gets time for its vote.
-void yieldTo(RaftState &State, TimePoint Now) {
+/// Ends this member's own pre-votes and delays its election, so that the
+/// candidate that was granted a pre-vote has time for its vote.
+void deferElection(RaftState &State, TimePoint Now) {
   if (State.Role == RaftRole::PreCandidate) {
     State.Role = RaftRole::Follower;
     State.Votes.clear();
   }
-  State.ElectionDeadline = std::max(
-      State.ElectionDeadline, drawRetryDeadline(State, PreVoteRetryPart, Now));
+  State.ElectionDeadline =
+      std::max(State.ElectionDeadline,
+               randomRetryDeadline(State, PreVoteRetryDivisor, Now));
 }
 
 void receive(RaftState &State, const wire::VoteRequest &Request,
              const std::string &ReplyAddress, TimePoint Now, RaftEffects &Out) {
-  // A member that heard from a live leader does not help to replace it, so
-  // that the leader's lease ends before a rival can win.
-  bool isBarred =
-      !Request.transfer() && (Now < State.VoteBarEnd || hasLease(State, Now));
-  if (isBarred)
+  // A member that recently heard from a leader ignores other candidates, so
+  // that the leader's lease ends before another member can win. An election
+  // that the leader itself asked for is exempt.
+  bool isVoteBlocked = !Request.transfer() &&
+                       (Now < State.VoteBlockedUntil || hasLease(State, Now));
+  if (isVoteBlocked)
     return;
   if (!Request.pre_vote() && Request.term() > State.Term)
     becomeFollower(State, Request.term(), 0, Now, Out);
   bool isGranted = Request.term() >= State.Term && isUpToDate(State, Request);
   if (Request.pre_vote()) {
     isGranted = isGranted && Request.term() > State.Term &&
-                !isRivalAhead(State, Request, Now);
+                !hasPreVotePriority(State, Request, Now);
     if (isGranted && State.Role != RaftRole::Leader)
-      yieldTo(State, Now);
+      deferElection(State, Now);
   } else {
     isGranted = isGranted &&
                 (State.VotedFor == 0 || State.VotedFor == Request.candidate());
     if (isGranted && State.VotedFor == 0) {
       State.VotedFor = Request.candidate();
-      State.ElectionDeadline = drawElectionDeadline(State, Now);
+      State.ElectionDeadline = randomElectionDeadline(State, Now);
       persistHardState(State, Out);
     }
   }
@@ -375,8 +387,8 @@
   send(Out, Address, std::move(message));
 }
 
-/// Stores the entries that are new here. Precondition: the previous entry
-/// matches.
+/// Stores the entries that this member lacks. Precondition: the entry before
+/// them matches.
 void storeEntries(RaftState &State, const wire::AppendRequest &Request,
                   RaftEffects &Out) {
   for (const wire::LogEntry &it : Request.entries()) {
@@ -397,14 +409,14 @@
     sendAppendReply(State, ReplyAddress, false, lastIndex(State), 0, Out);
     return;
   }
-  // A blank member takes a snapshot first; its reply asks for one.
+  // A blank member needs a snapshot first; its reply requests one.
   if (State.Role == RaftRole::Blank) {
     State.Leader = Request.leader();
     sendAppendReply(State, ReplyAddress, false, 0, 0, Out);
     return;
   }
   becomeFollower(State, Request.term(), Request.leader(), Now, Out);
-  State.VoteBarEnd = Now + State.Self.Timing.LeastElection;
+  State.VoteBlockedUntil = Now + State.Self.Timing.LeastElection;
   uint64_t previous = Request.previous_index();
   bool isMatching = previous <= State.SnapshotIndex ||
                     (previous <= lastIndex(State) &&
@@ -463,38 +475,39 @@
     sendAppendReply(State, ReplyAddress, true, State.Commit, 0, Out);
     return;
   }
-  // The new files carry the term, so it needs no record of its own.
+  // The new generation persists the term, so no separate record is needed.
   if (Install.term() > State.Term) {
     State.Term = Install.term();
     State.VotedFor = 0;
   }
   becomeFollower(State, Install.term(), Install.leader(), Now, Out);
-  State.VoteBarEnd = Now + State.Self.Timing.LeastElection;
+  State.VoteBlockedUntil = Now + State.Self.Timing.LeastElection;
   State.Entries.clear();
   State.SnapshotIndex = snapshot.index();
   State.SnapshotTerm = snapshot.term();
   State.SnapshotMembers.assign(snapshot.members().begin(),
                                snapshot.members().end());
   State.Commit = snapshot.index();
-  findNewestMembers(State);
+  updateMembers(State);
   persistSnapshot(State, snapshot, Out);
   Out.push_back(LoadSnapshot{snapshot});
   sendAppendReply(State, ReplyAddress, true, snapshot.index(), Install.round(),
                   Out);
 }
 
-void receive(RaftState &State, const wire::TimeoutNow &Order, TimePoint Now,
+void receive(RaftState &State, const wire::TimeoutNow &Request, TimePoint Now,
              RaftEffects &Out) {
-  bool isForSelf = Order.target() == State.Self.Identity;
-  if (isForSelf && Order.term() == State.Term &&
+  bool isForSelf = Request.target() == State.Self.Identity;
+  if (isForSelf && Request.term() == State.Term &&
       State.Role == RaftRole::Follower && isVoter(State, State.Self.Identity))
     startElection(State, true, Now, Out);
 }
 
-/// Forms the first configuration: index 1 of term 1 on every first member.
-void formFirstConfiguration(RaftState &State,
-                            const std::vector<wire::Member> &Members,
-                            TimePoint Now, RaftEffects &Out) {
+/// Forms the initial configuration, which every initial member stores as a
+/// snapshot at index 1 of term 1.
+void formInitialConfiguration(RaftState &State,
+                              const std::vector<wire::Member> &Members,
+                              TimePoint Now, RaftEffects &Out) {
   State.Role = RaftRole::Follower;
   State.Term = 1;
   State.SnapshotIndex = 1;
@@ -502,8 +515,8 @@
   State.SnapshotMembers = Members;
   State.Commit = 1;
   State.BlankPeers.clear();
-  findNewestMembers(State);
-  State.ElectionDeadline = drawElectionDeadline(State, Now);
+  updateMembers(State);
+  State.ElectionDeadline = randomElectionDeadline(State, Now);
   wire::Snapshot snapshot;
   fillSnapshotHeader(State, 1, snapshot);
   persistSnapshot(State, snapshot, Out);
@@ -517,18 +530,20 @@
   hello.set_address(State.Self.Address);
   hello.set_is_blank(State.Role == RaftRole::Blank);
   hello.set_is_joining(State.MayJoin);
-  // Only while nothing has been agreed on may a blank member join by itself.
+  // A blank member may adopt the initial configuration by itself only while
+  // that is still the group's snapshot.
   if (State.SnapshotIndex == 1)
     for (const wire::Member &it : State.SnapshotMembers)
       *hello.add_members() = it;
   return hello;
 }
 
-/// A member that lost its disk comes back under a new identity: the old one
-/// leaves the configuration and the new one starts as a learner. So does a
-/// host that is new, or was removed while it was silent.
-void admitMember(RaftState &State, const wire::BlankHello &Hello, TimePoint Now,
-                 RaftEffects &Out) {
+/// Proposes to add a member as a learner. A member that lost its disk returns
+/// under a new identity, which replaces the old one in the configuration. A new
+/// host, or one that was removed while it was silent, is added likewise if it
+/// asks to join.
+void proposeLearner(RaftState &State, const wire::BlankHello &Hello,
+                    TimePoint Now, RaftEffects &Out) {
   if (!canPropose(State, Now) || State.MembersIndex > State.Commit)
     return;
   wire::Command command;
@@ -556,9 +571,9 @@
                    Address) != State.SeedAddresses.end();
 }
 
-/// The first configuration is made of the seeds that have a disk, once every
-/// seed has been heard.
-void formIfComplete(RaftState &State, TimePoint Now, RaftEffects &Out) {
+/// Forms the initial configuration from the seeds that have a disk, once every
+/// seed has sent its hello.
+void formIfAllSeedsHeard(RaftState &State, TimePoint Now, RaftEffects &Out) {
   std::set<std::string> addresses;
   std::vector<wire::Member> members;
   bool isMember = false;
@@ -578,16 +593,17 @@
     if (!addresses.contains(it))
       return;
   if (isMember)
-    formFirstConfiguration(State, members, Now, Out);
+    formInitialConfiguration(State, members, Now, Out);
 }
 
 void receive(RaftState &State, const wire::BlankHello &Hello,
              const std::string &From, TimePoint Now, RaftEffects &Out) {
   if (State.Role != RaftRole::Blank) {
-    bool isAsking = Hello.is_blank() || Hello.is_joining();
-    if (Hello.is_diskless() || !isAsking)
+    bool isJoinRequest = Hello.is_blank() || Hello.is_joining();
+    if (Hello.is_diskless() || !isJoinRequest)
       return;
-    // Followers pass on what came from the newcomer itself.
+    // Followers forward to the leader only what came from the new member
+    // itself, not what another follower forwarded.
     std::string leader = addressOf(State, State.Leader);
     if (State.Role != RaftRole::Leader && !leader.empty() &&
         From == Hello.name()) {
@@ -601,16 +617,17 @@
       message.mutable_blank_hello()->set_is_joining(false);
       send(Out, Hello.address(), std::move(message));
     }
-    admitMember(State, Hello, Now, Out);
+    proposeLearner(State, Hello, Now, Out);
     return;
   }
   if (!Hello.is_blank()) {
-    // A formed peer ends the own forming; its list may name this identity.
+    // This peer belongs to a group already and does not count for forming one.
+    // The initial configuration that it sends may include this member.
     State.BlankPeers.erase(Hello.name());
     for (const wire::Member &it : Hello.members()) {
       if (it.identity() != State.Self.Identity)
         continue;
-      formFirstConfiguration(
+      formInitialConfiguration(
           State, {Hello.members().begin(), Hello.members().end()}, Now, Out);
       return;
     }
@@ -618,10 +635,10 @@
   }
   State.BlankPeers[Hello.name()] = Hello;
   if (State.MayForm)
-    formIfComplete(State, Now, Out);
+    formIfAllSeedsHeard(State, Now, Out);
 }
 
-void greetSeeds(RaftState &State, TimePoint Now, RaftEffects &Out) {
+void sendBootstrapHello(RaftState &State, TimePoint Now, RaftEffects &Out) {
   if (Now < State.NextAppend)
     return;
   State.NextAppend = Now + State.Self.Timing.Append;
@@ -633,11 +650,13 @@
   receive(State, message.blank_hello(), State.Self.Name, Now, Out);
 }
 
-/// A member that hears no leader may have been removed while it was silent.
-void askToRejoin(RaftState &State, TimePoint Now, RaftEffects &Out) {
-  if (!State.MayJoin || Now < State.NextGreeting || Now < State.VoteBarEnd)
+/// Asks to join the group again. A member that hears no leader may have been
+/// removed while it was silent.
+void requestRejoin(RaftState &State, TimePoint Now, RaftEffects &Out) {
+  if (!State.MayJoin || Now < State.NextJoinRequest ||
+      Now < State.VoteBlockedUntil)
     return;
-  State.NextGreeting = Now + 2 * State.Self.Timing.Append;
+  State.NextJoinRequest = Now + 2 * State.Self.Timing.Append;
   wire::Envelope message;
   *message.mutable_blank_hello() = makeHello(State);
   for (const std::string &it : State.ContactAddresses)
@@ -645,7 +664,8 @@
       send(Out, it, message);
 }
 
-/// Gives a vote to learners that hold everything committed.
+/// Proposes to make a voter of the first learner that holds all committed
+/// entries. One membership change is under way at a time.
 void promoteLearners(RaftState &State, TimePoint Now, RaftEffects &Out) {
   if (State.MembersIndex > State.Commit || !canPropose(State, Now))
     return;
@@ -696,16 +716,16 @@
   state.Entries.assign(Entries.begin(), Entries.end());
   state.Commit =
       std::max(state.Commit, std::min(HardState.commit(), lastIndex(state)));
-  findNewestMembers(state);
-  state.ElectionDeadline = drawElectionDeadline(state, Now);
-  // It may have heard from a leader just before it stopped.
-  state.VoteBarEnd = Now + state.Self.Timing.LeastElection;
+  updateMembers(state);
+  state.ElectionDeadline = randomElectionDeadline(state, Now);
+  // The member may have heard from a leader just before it stopped.
+  state.VoteBlockedUntil = Now + state.Self.Timing.LeastElection;
   return state;
 }
 
 void tickRaft(RaftState &State, TimePoint Now, RaftEffects &Out) {
   if (State.Role == RaftRole::Blank) {
-    greetSeeds(State, Now, Out);
+    sendBootstrapHello(State, Now, Out);
     return;
   }
   if (State.Role == RaftRole::Leader) {
@@ -717,7 +737,7 @@
       State.LeaseEnd = Now + State.Self.Timing.Lease;
     if (!isPast(State.NextAppend, Now))
       return;
-    // Unanswered entries go out again with the next round.
+    // Entries without a reply are sent again with the next round.
     for (auto &[identity, peer] : State.Peers)
       peer.NextIndex =
           peer.MatchIndex == 0 ? peer.NextIndex : peer.MatchIndex + 1;
@@ -726,13 +746,14 @@
     promoteLearners(State, Now, Out);
     return;
   }
-  askToRejoin(State, Now, Out);
+  requestRejoin(State, Now, Out);
   if (!isPast(State.ElectionDeadline, Now))
     return;
   if (isVoter(State, State.Self.Identity))
     startPreVote(State, Now, Out);
   else
-    State.Leader = 0; // It stands for no election, but hears nobody either.
+    // A learner starts no election, but its leader has timed out.
+    State.Leader = 0;
 }
 
 void receiveRaft(RaftState &State, const wire::Envelope &Message, TimePoint Now,
@@ -741,7 +762,7 @@
   bool isBlank = State.Role == RaftRole::Blank;
   switch (Message.body_case()) {
   case wire::Envelope::kVoteRequest:
-    // An empty folder never votes.
+    // A member with an empty data folder never votes.
     if (!isBlank)
       receive(State, Message.vote_request(), address, Now, Out);
     return;
@@ -782,15 +803,16 @@
   return entry.index();
 }
 
-void removeSilentMember(RaftState &State, size_t LeastVoters, Millis Silence,
-                        TimePoint Now, RaftEffects &Out) {
+void removeSilentMember(RaftState &State, size_t MinRemainingVoters,
+                        Millis Timeout, TimePoint Now, RaftEffects &Out) {
   if (!canPropose(State, Now) || State.MembersIndex > State.Commit)
     return;
   for (const wire::Member &silent : State.Members) {
     TimePoint heardAt = State.Peers[silent.identity()].HeardAt;
     bool isSilent = silent.identity() != State.Self.Identity &&
-                    heardAt != TimePoint() && Now - heardAt > Silence;
-    if (!isSilent || (silent.voter() && countVoters(State) <= LeastVoters))
+                    heardAt != TimePoint() && Now - heardAt > Timeout;
+    if (!isSilent ||
+        (silent.voter() && countVoters(State) <= MinRemainingVoters))
       continue;
     wire::Command command;
     command.mutable_member_change();
@@ -818,7 +840,7 @@
   wire::Envelope message;
   message.mutable_timeout_now()->set_term(State.Term);
   message.mutable_timeout_now()->set_target(best->identity());
-  // The lease ends here, before anyone can win against it.
+  // Stepping down ends the lease before another member can win.
   std::string address = best->address();
   becomeFollower(State, State.Term, 0, Now, Out);
   send(Out, address, std::move(message));
--- a/replication/raft.h
+++ b/replication/raft.h
@@ -1,10 +1,11 @@
 /// \file
-/// Quorum log by the published Raft rules: pre-vote, check-quorum, leader
-/// lease, learners, one membership change at a time, leadership transfer.
+/// State machine of the Raft consensus algorithm with pre-vote, check-quorum,
+/// leader lease, learners, one membership change at a time and leadership
+/// transfer.
 ///
-/// Decisions only: the caller persists, sends and applies. Effects must be
-/// carried out in order, and everything persisted must be synced before the
-/// next send.
+/// The functions do no input or output: they return effects, and the caller
+/// persists, sends and applies. Effects must be carried out in order, and
+/// everything persisted must be synced before the next message is sent.
 #ifndef SASSAFRAS_REPLICATION_RAFT_H
 #define SASSAFRAS_REPLICATION_RAFT_H
 
@@ -22,26 +23,27 @@
 
 namespace sassafras {
 
-/// Entries sent in one append at most.
+/// Maximum number of entries in one append request.
 inline constexpr size_t MaxAppendEntries = 128;
 
-/// Who a control process is. The identity belongs to its data folder.
+/// Name, address and timing of the local member.
 struct RaftSelf {
   std::string Name;
-  uint64_t Identity = 0;
+  uint64_t Identity = 0; ///< Generated once for each data folder.
   std::string Address;
   timing::GroupTiming Timing = {};
 };
 
+/// A blank member has an empty data folder and belongs to no configuration yet.
 enum class RaftRole { Blank, Follower, PreCandidate, Candidate, Leader };
 
-/// What the leader knows of one other member.
+/// Replication progress of one other member, kept by the leader.
 struct PeerProgress {
   uint64_t NextIndex = 1;
   uint64_t MatchIndex = 0;
-  uint64_t AckedRound = 0;
-  TimePoint NextSnapshot;
-  TimePoint HeardAt; ///< Of its last reply.
+  uint64_t AckedRound = 0; ///< Newest round of appends that it answered.
+  TimePoint NextSnapshot;  ///< No snapshot is requested for it before this.
+  TimePoint HeardAt;       ///< Time of its last reply.
 };
 
 struct RaftState {
@@ -49,56 +51,61 @@
   RaftRole Role = RaftRole::Blank;
   uint64_t Term = 0;
   uint64_t VotedFor = 0;
-  uint64_t Leader = 0; ///< Identity of the known leader, 0 for none.
+  uint64_t Leader = 0; ///< Identity of the known leader, or 0.
 
-  std::deque<wire::LogEntry> Entries; ///< From SnapshotIndex + 1.
+  std::deque<wire::LogEntry> Entries; ///< Starting at index SnapshotIndex + 1.
   uint64_t SnapshotIndex = 0;
   uint64_t SnapshotTerm = 0;
   std::vector<wire::Member> SnapshotMembers;
-  std::vector<wire::Member> Members; ///< Newest in the log.
-  uint64_t MembersIndex = 0;
+  std::vector<wire::Member> Members; ///< Newest configuration in the log.
+  uint64_t MembersIndex = 0;         ///< Log index of that configuration.
   uint64_t Commit = 0;
 
   std::map<uint64_t, PeerProgress> Peers;
   std::map<uint64_t, bool> Votes;
-  uint64_t Round = 0;
+  uint64_t Round = 0; ///< Number of the newest round of appends.
   std::map<uint64_t, TimePoint> RoundSent;
   TimePoint LeaseEnd;
   TimePoint ElectionDeadline;
-  TimePoint VoteBarEnd;  ///< No vote against a live leader before this.
-  TimePoint PreVoteEnds; ///< Its own round of pre-votes is over by then.
+  /// Votes are withheld until then, since a leader heard from recently may
+  /// still hold its lease.
+  TimePoint VoteBlockedUntil;
+  TimePoint PreVoteDeadline; ///< End of this member's own round of pre-votes.
   TimePoint NextAppend;
   std::map<std::string, wire::BlankHello> BlankPeers;
-  std::vector<std::string> SeedAddresses; ///< Control addresses of settings.
-  /// Where a member without a leader asks to be taken in; the seeds at first.
+  /// Addresses of the seeds, from the settings.
+  std::vector<std::string> SeedAddresses;
+  /// Addresses to which a member without a leader sends its requests to join;
+  /// initially the seeds.
   std::vector<std::string> ContactAddresses;
-  bool MayForm = true;  ///< A blank member may form the first configuration.
-  bool MayJoin = false; ///< It may join under a name that is not known.
-  TimePoint NextGreeting;
+  bool MayForm = true;  ///< A blank member may form the initial configuration.
+  bool MayJoin = false; ///< May join under a name that is new to the group.
+  TimePoint NextJoinRequest;
   std::mt19937_64 Random;
 };
 
-/// Write this record to the log file.
+/// Appends a record to the log file.
 struct PersistRecord {
   wire::DiskRecord Record;
 };
-/// Replace all files at once by this snapshot and what follows it.
+/// Atomically replaces the snapshot and the log by a new generation that holds
+/// this snapshot and the entries after it.
 struct PersistSnapshot {
   wire::Snapshot Snapshot;
   wire::HardState HardState;
   std::vector<wire::LogEntry> Entries;
 };
-/// Send to an inner address.
+/// Sends a message to the address of another process.
 struct RaftSend {
   std::string Address;
   wire::Envelope Message;
 };
-/// The member is too far behind for the log: send it a snapshot of what was
-/// applied, completed by fillSnapshotHeader.
+/// The log no longer holds the entries that the member lacks. The caller sends
+/// it a snapshot of the applied state, completed by fillSnapshotHeader.
 struct SnapshotNeeded {
   wire::Member Target;
 };
-/// Load this snapshot into the state machine.
+/// Loads a snapshot into the replicated state machine.
 struct LoadSnapshot {
   wire::Snapshot Snapshot;
 };
@@ -107,51 +114,63 @@
                                 SnapshotNeeded, LoadSnapshot>;
 using RaftEffects = std::vector<RaftEffect>;
 
-/// State of a folder without a log.
+/// Creates the state of a member whose data folder is empty. \p Seed seeds the
+/// random election timeouts.
 RaftState makeBlankRaft(RaftSelf Self, std::vector<std::string> SeedAddresses,
                         uint64_t Seed, TimePoint Now);
-/// State after a restart from what the disk holds.
+/// Creates the state of a restarted member from the content of its data folder.
 RaftState restoreRaft(RaftSelf Self, std::vector<std::string> SeedAddresses,
                       const wire::Snapshot &Snapshot,
                       const wire::HardState &HardState,
                       std::vector<wire::LogEntry> Entries, uint64_t Seed,
                       TimePoint Now);
 
-/// Time has passed.
+/// Advances the state to \p Now: starts elections, sends appends and steps down
+/// when a deadline has passed.
 void tickRaft(RaftState &State, TimePoint Now, RaftEffects &Out);
-/// A replication message has come in; others are ignored.
+/// Handles a replication message. Messages of other kinds are ignored.
 void receiveRaft(RaftState &State, const wire::Envelope &Message, TimePoint Now,
                  RaftEffects &Out);
-/// Appends \p Command at the leader and returns its index. Precondition:
-/// canPropose.
+/// Appends \p Command to the leader's log and returns its index. Precondition:
+/// canPropose().
 uint64_t proposeRaft(RaftState &State, wire::Command Command, TimePoint Now,
                      RaftEffects &Out);
-/// Removes a voter or learner that has been silent for \p Silence while more
-/// than \p LeastVoters voters remain; one at a time. Leader only.
-void removeSilentMember(RaftState &State, size_t LeastVoters, Millis Silence,
-                        TimePoint Now, RaftEffects &Out);
-/// Gives up leadership to the best follower; no effect on others.
+/// Proposes to remove a learner, or a voter while there are more than
+/// \p MinRemainingVoters voters, that has not replied within
+/// \p Timeout. One member is removed at a time. No effect unless canPropose().
+void removeSilentMember(RaftState &State, size_t MinRemainingVoters,
+                        Millis Timeout, TimePoint Now, RaftEffects &Out);
+/// Steps down and asks the voter with the longest matching log to start an
+/// election at once. No effect on members that do not lead, or if there is no
+/// other voter.
 void transferLeadership(RaftState &State, TimePoint Now, RaftEffects &Out);
-/// \p Snapshot holds the state machine at its index: persist it and drop the
-/// log below, but keep \p Tail entries in memory for slow members.
+/// Persists \p Snapshot, which holds the state machine at its index, and
+/// discards the log up to that index, except for the last \p Tail entries,
+/// which stay in memory for members that lag behind.
 void compactRaft(RaftState &State, wire::Snapshot Snapshot, size_t Tail,
                  RaftEffects &Out);
 
-/// True when this member leads and may act without asking anyone.
+/// True if this member leads and holds the leader lease, so that it may act
+/// without asking a quorum.
 bool hasLease(const RaftState &State, TimePoint Now);
-/// True when a proposal may be appended.
+/// True if a proposal may be appended: this member holds the lease and has
+/// committed an entry of its own term.
 bool canPropose(const RaftState &State, TimePoint Now);
-/// True when the leader has applied-able entries of its own term committed.
+/// True if this member leads and has committed an entry of its own term, so
+/// that all entries of earlier terms are committed too.
 bool isTermEstablished(const RaftState &State);
-/// Address of the known leader, or empty.
+/// Returns the address of the known leader, or an empty string.
 std::string leaderAddress(const RaftState &State);
+/// Returns the index of the last entry, or of the snapshot if there is none.
 uint64_t lastIndex(const RaftState &State);
+/// Returns the term of the entry at \p Index, or 0 if it is not in the log.
 uint64_t termAt(const RaftState &State, uint64_t Index);
-/// Entry at \p Index. Precondition: it is in the log.
+/// Returns the entry at \p Index. Precondition: it is in the log.
 const wire::LogEntry &entryAt(const RaftState &State, uint64_t Index);
-/// Configuration in force at \p Index.
+/// Returns the configuration that is in effect at \p Index.
 std::vector<wire::Member> membersAt(const RaftState &State, uint64_t Index);
-/// Sets index, term and members of a snapshot of state at \p Index.
+/// Sets index, term and members of \p Snapshot, a snapshot of the state machine
+/// at \p Index.
 void fillSnapshotHeader(const RaftState &State, uint64_t Index,
                         wire::Snapshot &Snapshot);
 
--- a/tests/replication/test_raft.cpp
+++ b/tests/replication/test_raft.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Rules of the quorum log that a member keeps by itself.
+/// Tests of the Raft rules that each member enforces, and of the time that a
+/// restarted group takes to elect a leader.
 #include "core/timing.h"
 #include "replication/raft.h"
 
@@ -14,7 +15,7 @@
 
 const TimePoint Start = TimePoint() + std::chrono::hours(1);
 
-wire::Snapshot threeMembers() {
+wire::Snapshot makeThreeMemberSnapshot() {
   wire::Snapshot snapshot;
   snapshot.set_index(1);
   snapshot.set_term(1);
@@ -28,12 +29,12 @@
   return snapshot;
 }
 
-RaftState restored(const wire::HardState &HardState, TimePoint Now) {
-  return restoreRaft({"c1", 1, "c1"}, {"c1", "c2", "c3"}, threeMembers(),
-                     HardState, {}, 1, Now);
+RaftState makeRestored(const wire::HardState &HardState, TimePoint Now) {
+  return restoreRaft({"c1", 1, "c1"}, {"c1", "c2", "c3"},
+                     makeThreeMemberSnapshot(), HardState, {}, 1, Now);
 }
 
-wire::Envelope voteRequest(uint64_t Term, uint64_t Candidate) {
+wire::Envelope makeVoteRequest(uint64_t Term, uint64_t Candidate) {
   wire::Envelope message;
   wire::VoteRequest &request = *message.mutable_vote_request();
   request.set_term(Term);
@@ -43,7 +44,7 @@
   return message;
 }
 
-bool isGranted(const RaftEffects &Effects) {
+bool hasGrantedVote(const RaftEffects &Effects) {
   for (const RaftEffect &it : Effects)
     if (auto *send = std::get_if<RaftSend>(&it))
       if (send->Message.vote_reply().granted())
@@ -51,19 +52,21 @@
   return false;
 }
 
-bool grants(RaftState &State, const wire::Envelope &Request, TimePoint Now) {
+bool grantsVote(RaftState &State, const wire::Envelope &Request,
+                TimePoint Now) {
   RaftEffects out;
   receiveRaft(State, Request, Now, out);
-  return isGranted(out);
+  return hasGrantedVote(out);
 }
 
-const TimePoint Free = Start + timing::ElectionMin;
+const TimePoint VoteUnblockedAt = Start + timing::ElectionMin;
 
-/// Voters that start over from their disks one after the other, with links
-/// that take a few milliseconds.
+/// Simulates voters that restart from their data folders one after the other
+/// and are connected by links with a fixed delay.
 class RestartedGroup {
 public:
-  /// \p Newest of them, counted from one, has an entry more; 0 for none.
+  /// The member with the number \p Newest, counted from one, holds one entry
+  /// more than the others; 0 for none.
   RestartedGroup(const std::vector<Millis> &StartDelays, uint64_t Seed,
                  uint64_t Newest = 0)
       : Seed(Seed), Newest(Newest) {
@@ -79,7 +82,8 @@
     }
   }
 
-  /// Time from the first start until one may propose, at most two seconds.
+  /// Returns the time from the first start until a member can propose, at most
+  /// two seconds.
   Millis timeToLeader() {
     for (TimePoint now = Start; now < Start + Millis(2'000); now += Step) {
       startMembers(now);
@@ -87,7 +91,7 @@
       for (auto &[name, state] : Members) {
         RaftEffects out;
         tickRaft(state, now, out);
-        take(name, out, now);
+        sendMessages(name, out, now);
         if (canPropose(state, now))
           return std::chrono::duration_cast<Millis>(now - Start);
       }
@@ -99,7 +103,7 @@
   static constexpr Millis Step{5};
   static constexpr Millis LinkDelay{10};
 
-  struct OnTheWay {
+  struct MessageInFlight {
     TimePoint At;
     std::string To;
     wire::Envelope Message;
@@ -128,18 +132,19 @@
 
   void deliver(TimePoint Now) {
     while (!Links.empty() && Links.front().At <= Now) {
-      OnTheWay it = std::move(Links.front());
+      MessageInFlight it = std::move(Links.front());
       Links.pop_front();
       auto member = Members.find(it.To);
       if (member == Members.end())
         continue;
       RaftEffects out;
       receiveRaft(member->second, it.Message, Now, out);
-      take(it.To, out, Now);
+      sendMessages(it.To, out, Now);
     }
   }
 
-  void take(const std::string &From, RaftEffects &Effects, TimePoint Now) {
+  void sendMessages(const std::string &From, RaftEffects &Effects,
+                    TimePoint Now) {
     for (RaftEffect &it : Effects)
       if (auto *send = std::get_if<RaftSend>(&it)) {
         send->Message.set_from(From);
@@ -153,17 +158,17 @@
   wire::Snapshot Snapshot;
   std::map<std::string, TimePoint> StartTimes;
   std::map<std::string, RaftState> Members;
-  std::deque<OnTheWay> Links;
+  std::deque<MessageInFlight> Links;
 };
 
 } // namespace
 
-TEST_CASE("member votes once a term, across its restart too") {
-  RaftState state = restored({}, Start);
+TEST_CASE("member votes once in a term, also across a restart") {
+  RaftState state = makeRestored({}, Start);
   RaftEffects out;
-  receiveRaft(state, voteRequest(3, 2), Free, out);
-  REQUIRE(isGranted(out));
-  // The vote is persisted before the answer leaves.
+  receiveRaft(state, makeVoteRequest(3, 2), VoteUnblockedAt, out);
+  REQUIRE(hasGrantedVote(out));
+  // The vote is persisted before the reply is sent.
   wire::HardState last;
   for (const RaftEffect &it : out) {
     if (auto *record = std::get_if<PersistRecord>(&it))
@@ -171,30 +176,32 @@
     if (std::holds_alternative<RaftSend>(it))
       CHECK(last.voted_for() == 2);
   }
-  CHECK_FALSE(grants(state, voteRequest(3, 3), Free));
-  RaftState again = restored(last, Start);
-  CHECK_FALSE(grants(again, voteRequest(3, 3), Free));
-  CHECK(grants(again, voteRequest(3, 2), Free));
+  CHECK_FALSE(grantsVote(state, makeVoteRequest(3, 3), VoteUnblockedAt));
+  RaftState again = makeRestored(last, Start);
+  CHECK_FALSE(grantsVote(again, makeVoteRequest(3, 3), VoteUnblockedAt));
+  CHECK(grantsVote(again, makeVoteRequest(3, 2), VoteUnblockedAt));
 }
 
-TEST_CASE("empty folder never votes and takes no entries") {
+TEST_CASE("member with an empty folder never votes and accepts no entries") {
   RaftState state =
       makeBlankRaft({"c1", 1, "c1"}, {"c1", "c2", "c3"}, 1, Start);
   RaftEffects out;
-  receiveRaft(state, voteRequest(3, 2), Free, out);
+  receiveRaft(state, makeVoteRequest(3, 2), VoteUnblockedAt, out);
   CHECK(out.empty());
   wire::Envelope message;
   message.mutable_append_request()->set_target(1);
   message.mutable_append_request()->set_term(3);
-  receiveRaft(state, message, Free, out);
+  receiveRaft(state, message, VoteUnblockedAt, out);
   REQUIRE(out.size() == 1);
   CHECK_FALSE(std::get<RaftSend>(out[0]).Message.append_reply().success());
   CHECK(state.Entries.empty());
 }
 
-TEST_CASE("member that heard from a leader, or restarted, helps no rival") {
-  RaftState state = restored({}, Start);
-  CHECK_FALSE(grants(state, voteRequest(3, 2), Free - Millis(1)));
+TEST_CASE(
+    "member that heard from a leader, or restarted, rejects other candidates") {
+  RaftState state = makeRestored({}, Start);
+  CHECK_FALSE(
+      grantsVote(state, makeVoteRequest(3, 2), VoteUnblockedAt - Millis(1)));
   wire::Envelope append;
   append.mutable_append_request()->set_term(1);
   append.mutable_append_request()->set_leader(2);
@@ -202,16 +209,16 @@
   append.mutable_append_request()->set_previous_index(1);
   append.mutable_append_request()->set_previous_term(1);
   RaftEffects out;
-  receiveRaft(state, append, Free, out);
-  TimePoint end = Free + timing::ElectionMin;
-  CHECK_FALSE(grants(state, voteRequest(3, 3), end - Millis(1)));
-  wire::Envelope transfer = voteRequest(3, 3);
+  receiveRaft(state, append, VoteUnblockedAt, out);
+  TimePoint end = VoteUnblockedAt + timing::ElectionMin;
+  CHECK_FALSE(grantsVote(state, makeVoteRequest(3, 3), end - Millis(1)));
+  wire::Envelope transfer = makeVoteRequest(3, 3);
   transfer.mutable_vote_request()->set_transfer(true);
-  CHECK(grants(state, transfer, end - Millis(1)));
+  CHECK(grantsVote(state, transfer, end - Millis(1)));
 }
 
-TEST_CASE("leader's lease ends before a voter may help a rival") {
-  RaftState state = restored({}, Start);
+TEST_CASE("leader's lease ends before a voter may vote for another candidate") {
+  RaftState state = makeRestored({}, Start);
   TimePoint now = Start;
   RaftEffects out;
   while (state.Role != RaftRole::PreCandidate) {
@@ -235,38 +242,41 @@
   reply.mutable_append_reply()->set_match_index(2);
   reply.mutable_append_reply()->set_round(1);
   TimePoint sent = now;
-  // However late the answer is, the lease counts from the sending.
+  // The lease starts when the request is sent, however late the reply is.
   now += Millis(1000);
   receiveRaft(state, reply, now, out);
   CHECK(hasLease(state, sent + timing::LeaderLease - Millis(1)));
   CHECK_FALSE(hasLease(state, sent + timing::LeaderLease));
   CHECK(timing::LeaderLease < timing::ElectionMin);
-  // A frozen leader that wakes may not propose.
+  // A leader that resumes after a pause may not propose.
   CHECK_FALSE(canPropose(state, sent + timing::ElectionMin));
 }
 
-TEST_CASE("group that starts over after a loss of power soon has a leader") {
-  // Eight voters started within 435 ms; the fifth of them, with whom a quorum
-  // may vote, 202 ms after the first. Each is barred for LeastElection.
+TEST_CASE("group that restarts after a power loss soon has a leader") {
+  // Eight voters start within 435 ms. The fifth, which completes a quorum,
+  // starts 202 ms after the first. Each withholds its vote for the minimum
+  // election timeout after its start.
   const std::vector<Millis> starts{Millis(0),   Millis(53),  Millis(137),
                                    Millis(184), Millis(202), Millis(384),
                                    Millis(404), Millis(435)};
-  Millis mayVote = Millis(202) + timing::QuickGroup.LeastElection;
+  Millis quorumMayVote = Millis(202) + timing::QuickGroup.LeastElection;
   size_t late = 0;
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     Millis time = RestartedGroup(starts, seed).timeToLeader();
     INFO("seed " << seed << " took " << time.count() << " ms");
-    CHECK(time >= mayVote);
-    CHECK(time <= mayVote + timing::QuickGroup.MostElection);
-    late += time > mayVote + Millis(300);
+    CHECK(time >= quorumMayVote);
+    CHECK(time <= quorumMayVote + timing::QuickGroup.MostElection);
+    late += time > quorumMayVote + Millis(300);
   }
-  // A vote that is split now and then may take another round.
+  // A split vote occurs now and then and takes another round.
   CHECK(late <= 10);
 }
 
-TEST_CASE("member that lacks an entry does not hold up the one that has it") {
-  // One of three is down for good, so that both others are needed. The one of
-  // the lower identity cannot win, whether it asks first or not.
+TEST_CASE("member that lacks an entry does not delay the election of one that "
+          "has it") {
+  // One of three members stays down, so both others are needed for a quorum.
+  // The one with the lower identity lacks an entry and cannot win, whether it
+  // requests pre-votes first or not.
   for (Millis delay : {Millis(0), Millis(200)}) {
     for (uint64_t seed = 1; seed <= 100; ++seed) {
       INFO("seed " << seed << " delay " << delay.count());
