--- a/replication/raft.cpp
+++ b/replication/raft.cpp
@@ -495,10 +495,10 @@
                   Out);
 }
 
-void receive(RaftState &State, const wire::TimeoutNow &Request, TimePoint Now,
-             RaftEffects &Out) {
-  bool isForSelf = Request.target() == State.Self.Identity;
-  if (isForSelf && Request.term() == State.Term &&
+void receive(RaftState &State, const wire::TimeoutNow &TransferRequest,
+             TimePoint Now, RaftEffects &Out) {
+  bool isForSelf = TransferRequest.target() == State.Self.Identity;
+  if (isForSelf && TransferRequest.term() == State.Term &&
       State.Role == RaftRole::Follower && isVoter(State, State.Self.Identity))
     startElection(State, true, Now, Out);
 }
