--- a/tests/wire/test_link.cpp
+++ b/tests/wire/test_link.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Contract of the inner links: who is heard, who is refused, and that no
-/// bytes end the process.
+/// Tests of the links between the processes of a fleet: which messages are
+/// delivered, which are refused, and that malformed bytes do no harm.
 #include "core/metrics.h"
 #include "wire/link.h"
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Two links in one thread, with what each has received.
+/// Two links that run in one thread, and the messages that each has received.
 struct LinkPair {
   LinkPair(const char *FleetA, const char *FleetB)
       : A(Io, {FleetA, "a", 7, "127.0.0.1:0"}, CountsA,
@@ -47,7 +47,7 @@
 
 } // namespace
 
-TEST_CASE("link names its sender and keeps the order") {
+TEST_CASE("link sets the sender fields and preserves the order of messages") {
   LinkPair pair("fleet", "fleet");
   for (uint64_t i = 0; i < 500; ++i)
     pair.A.send(pair.B.address(), makeHeartbeat(i));
@@ -60,7 +60,7 @@
   }
 }
 
-TEST_CASE("link refuses another fleet and tells it") {
+TEST_CASE("link refuses messages of another fleet and tells their sender") {
   LinkPair pair("fleet", "other");
   pair.A.send(pair.B.address(), makeHeartbeat(1));
   REQUIRE(pair.runUntil([&] {
@@ -71,7 +71,7 @@
   CHECK(pair.CountsB.print().find("other fleet") != std::string::npos);
 }
 
-TEST_CASE("link refuses unknown versions and unreadable bytes") {
+TEST_CASE("link refuses unknown versions and malformed bytes") {
   LinkPair pair("fleet", "fleet");
   zmq::context_t context;
   zmq::socket_t socket(context, zmq::socket_type::push);
@@ -93,7 +93,7 @@
   CHECK(pair.runUntil([&] { return pair.AtB.size() == 1; }));
 }
 
-TEST_CASE("link says why it cannot listen") {
+TEST_CASE("link reports why it cannot listen") {
   LinkPair pair("fleet", "fleet");
   boost::asio::io_context io;
   Metrics counts;
--- a/wire/link.cpp
+++ b/wire/link.cpp
@@ -17,21 +17,25 @@
 
 namespace asio = boost::asio;
 
-/// Messages queued in each direction for one peer.
+/// Maximum number of messages queued in each direction for one peer.
 constexpr int QueueLimit = 4000;
 constexpr int64_t MaxMessageBytes = 64LL * 1024 * 1024;
 constexpr int ReconnectMs = 50;
 constexpr int ReconnectMaxMs = 200;
+/// Time for which queued messages are still sent after a socket is closed.
 constexpr int LingerMs = 500;
-/// A host that is down swallows the first packet; the kernel would send the
-/// next one only after a second.
+/// The first packet to a host that is down is lost, and the kernel would repeat
+/// it only after one second. A connection attempt is abandoned earlier.
 constexpr int ConnectTimeoutMs = 250;
-/// Connections may go silent without a reset: they are tested and made anew.
+/// A connection can fail without a reset. ZeroMQ heartbeats detect this, and
+/// the connection is opened again.
 constexpr int HeartbeatMs = 700;
 constexpr int HeartbeatTimeoutMs = 1400;
-constexpr std::chrono::seconds PeerMemory{120};
-/// Messages taken before other work of the thread gets its turn.
-constexpr int DrainBatch = 256;
+/// A peer's socket is closed if nothing was sent to it for this long, which is
+/// checked at the same interval.
+constexpr std::chrono::seconds PeerIdleTimeout{120};
+/// Maximum number of messages received before other work of the thread runs.
+constexpr int ReceiveBatch = 256;
 
 struct Peer {
   zmq::socket_t Socket;
@@ -46,12 +50,12 @@
         OnMessage(std::move(OnMessage)), Context(1),
         Inbox(Context, zmq::socket_type::pull), Descriptor(Io), Timer(Io) {}
 
-  void arm();
-  void drain();
-  void take(const zmq::message_t &Bytes);
-  void refuse(const wire::Envelope &Message, const std::string &Reason);
+  void waitReadable();
+  void receiveBatch();
+  void handleMessage(const zmq::message_t &Bytes);
+  void refuseMessage(const wire::Envelope &Message, const std::string &Reason);
   void deliver(const std::string &Address, wire::Envelope &Message);
-  void forgetIdlePeers();
+  void closeIdlePeers();
 
   asio::io_context &Io;
   LinkSelf Self;
@@ -66,33 +70,33 @@
   bool IsClosed = false;
 };
 
-void Link::Impl::arm() {
+void Link::Impl::waitReadable() {
   Descriptor.async_wait(asio::posix::stream_descriptor::wait_read,
                         [self = shared_from_this()](auto ec) {
                           if (!ec && !self->IsClosed)
-                            self->drain();
+                            self->receiveBatch();
                         });
 }
 
-void Link::Impl::drain() {
-  for (int i = 0; i < DrainBatch; ++i) {
+void Link::Impl::receiveBatch() {
+  for (int i = 0; i < ReceiveBatch; ++i) {
     zmq::message_t bytes;
     auto n = Inbox.recv(bytes, zmq::recv_flags::dontwait);
     if (!n) {
-      arm();
+      waitReadable();
       return;
     }
-    take(bytes);
+    handleMessage(bytes);
     if (IsClosed)
       return;
   }
   asio::post(Io, [self = shared_from_this()] {
     if (!self->IsClosed)
-      self->drain();
+      self->receiveBatch();
   });
 }
 
-void Link::Impl::take(const zmq::message_t &Bytes) {
+void Link::Impl::handleMessage(const zmq::message_t &Bytes) {
   wire::Envelope message;
   if (!message.ParseFromArray(Bytes.data(), static_cast<int>(Bytes.size()))) {
     Counts.count("link_refused_total", "reason=\"unreadable\"");
@@ -106,26 +110,26 @@
     return;
   }
   if (message.fleet() != Self.Fleet) {
-    refuse(message, "other fleet");
+    refuseMessage(message, "other fleet");
     return;
   }
   if (message.version() != ProtocolVersion) {
-    refuse(message, "unknown protocol version");
+    refuseMessage(message, "unknown protocol version");
     return;
   }
   OnMessage(std::move(message));
 }
 
-void Link::Impl::refuse(const wire::Envelope &Message,
-                        const std::string &Reason) {
+void Link::Impl::refuseMessage(const wire::Envelope &Message,
+                               const std::string &Reason) {
   Counts.count("link_refused_total", "reason=\"" + Reason + "\"");
   logEvent(LogLevel::Warning, "peer_refused",
            {{"peer", Message.from()}, {"reason", Reason}});
   if (Message.reply_address().empty())
     return;
-  wire::Envelope answer;
-  answer.mutable_hello_refused()->set_reason(Reason);
-  deliver(Message.reply_address(), answer);
+  wire::Envelope refusal;
+  refusal.mutable_hello_refused()->set_reason(Reason);
+  deliver(Message.reply_address(), refusal);
 }
 
 void Link::Impl::deliver(const std::string &Address, wire::Envelope &Message) {
@@ -166,15 +170,15 @@
     Counts.count("link_dropped_total", "reason=\"queue_full\"");
 }
 
-void Link::Impl::forgetIdlePeers() {
-  Timer.expires_after(PeerMemory);
+void Link::Impl::closeIdlePeers() {
+  Timer.expires_after(PeerIdleTimeout);
   Timer.async_wait([self = shared_from_this()](auto ec) {
     if (ec)
       return;
     std::erase_if(self->Peers, [](const auto &it) {
-      return Clock::now() - it.second.LastUse > PeerMemory;
+      return Clock::now() - it.second.LastUse > PeerIdleTimeout;
     });
-    self->forgetIdlePeers();
+    self->closeIdlePeers();
   });
 }
 
@@ -199,12 +203,13 @@
     Problem = "cannot listen at " + data.Self.Listen + ": " + error.what();
     return false;
   }
-  // The descriptor signals changes only, so look once before waiting.
+  // The descriptor of a ZeroMQ socket is edge-triggered: messages that arrived
+  // earlier must be received before the first wait.
   asio::post(data.Io, [self = Data] {
     if (!self->IsClosed)
-      self->drain();
+      self->receiveBatch();
   });
-  data.forgetIdlePeers();
+  data.closeIdlePeers();
   return true;
 }
 
--- a/wire/link.h
+++ b/wire/link.h
@@ -1,8 +1,9 @@
 /// \file
 /// One-way messages between the processes of a fleet over ZeroMQ.
 ///
-/// Each process pulls at its own address and pushes to its peers. Messages
-/// may be lost, late or doubled after a reconnect; the protocol above copes.
+/// Each process receives on a PULL socket at its own address and sends to each
+/// peer over a PUSH socket. Messages may be lost, delayed, or duplicated after
+/// a reconnect; callers must tolerate this.
 #ifndef SASSAFRAS_WIRE_LINK_H
 #define SASSAFRAS_WIRE_LINK_H
 
@@ -19,38 +20,43 @@
 
 class Metrics;
 
-/// Version of the inner protocol. Others are refused.
+/// Version of the protocol between the processes of a fleet. Messages of other
+/// versions are refused.
 inline constexpr uint32_t ProtocolVersion = 1;
 
-/// Who this process is to its peers.
+/// Identification of the local process to its peers, and its listen address.
 struct LinkSelf {
   std::string Fleet;
   std::string Node;
   uint64_t Incarnation = 0;
-  std::string Listen; ///< IP and port; port 0 takes any free one.
+  std::string Listen; ///< IP address and port; port 0 selects a free one.
 };
 
+/// Message transport of one process.
 class Link {
 public:
   using Handler = std::function<void(wire::Envelope)>;
 
-  /// \p OnMessage is called on the thread that runs \p Io, with envelopes of
-  /// the own fleet and version only.
+  /// Calls \p OnMessage on the thread that runs \p Io, only with envelopes of
+  /// the same fleet and protocol version. \p Io must run on a single thread.
   Link(boost::asio::io_context &Io, LinkSelf Self, Metrics &Counts,
        Handler OnMessage);
   ~Link();
   Link(const Link &) = delete;
   Link &operator=(const Link &) = delete;
 
-  /// Binds and starts to receive. False, with the reason in \p Problem, when
-  /// the address cannot be used. Call once, before other threads send.
+  /// Binds the listen address and starts to receive. Returns false, with the
+  /// reason in \p Problem, if the address cannot be used. Must be called once,
+  /// before other threads send.
   bool start(std::string &Problem);
-  /// Address that peers reach, with the port that was taken.
+  /// Returns the address at which peers reach this process, with the bound
+  /// port. Empty before start().
   const std::string &address() const;
-  /// Sends to \p Address unless its queue is full. Thread safe.
+  /// Queues \p Message for \p Address and drops it if that queue is full.
+  /// Thread-safe.
   void send(const std::string &Address, wire::Envelope Message);
-  /// Gives queued messages a moment to leave and closes. Call on the thread
-  /// that runs the context.
+  /// Closes all sockets. Queued messages are still sent for at most 500 ms.
+  /// Must be called on the thread that runs the io_context.
   void close();
 
 private:
