--- a/control/control_shell.cpp
+++ b/control/control_shell.cpp
@@ -72,7 +72,7 @@
 };
 
 bool ControlShell::restore(std::string &Problem) {
-  DiskProblem problem;
+  DiskError problem;
   auto content = Disk.open(problem);
   if (!content) {
     Problem = problem.File + " " + problem.Reason;
@@ -116,9 +116,9 @@
 void ControlShell::abortOnDiskFailure(bool IsWritten) {
   if (IsWritten)
     return;
-  logEvent(LogLevel::Error, "disk_failed",
-           {{"file", Disk.lastProblem().File},
-            {"reason", Disk.lastProblem().Reason}});
+  logEvent(
+      LogLevel::Error, "disk_failed",
+      {{"file", Disk.lastError().File}, {"reason", Disk.lastError().Reason}});
   std::abort();
 }
 
@@ -161,7 +161,7 @@
   logEvent(LogLevel::Info, "role_changed",
            {{"term", std::to_string(LastTerm)},
             {"leader", isLeader ? "yes" : "no"},
-            {"waits_for", waitsFor(State.Raft)}});
+            {"waits_for", describeLeaderWait(State.Raft)}});
 }
 
 void ControlShell::exit() {
--- a/control/serving_group.cpp
+++ b/control/serving_group.cpp
@@ -66,7 +66,7 @@
     return false;
   NextOpenAttempt = now + ReopenDelay;
   Disk = std::make_unique<DiskLog>(Options.DataFolder);
-  DiskProblem problem;
+  DiskError problem;
   auto content = Disk->open(problem);
   if (!content) {
     Disk.reset();
@@ -86,7 +86,7 @@
   raft.MayForm = Options.MayForm;
   raft.MayJoin = true;
   if (!JoinAddresses.empty())
-    raft.GreetAddresses = JoinAddresses;
+    raft.ContactAddresses = JoinAddresses;
   logEvent(LogLevel::Info, "folder_read",
            {{"blank", content->IsBlank ? "yes" : "no"},
             {"truncated_bytes", std::to_string(content->TornBytes)},
@@ -102,9 +102,9 @@
 /// continue without it.
 void ServingGroup::Impl::handleDiskFailure() {
   Counts.count("disk_failures_total");
-  logEvent(LogLevel::Error, "disk_failed",
-           {{"file", Disk->lastProblem().File},
-            {"reason", Disk->lastProblem().Reason}});
+  logEvent(
+      LogLevel::Error, "disk_failed",
+      {{"file", Disk->lastError().File}, {"reason", Disk->lastError().Reason}});
   for (const PendingWrite &it : Store->Pending)
     postResult({it.Number, StoreOutcome::Unavailable, 0, {}});
   Store.reset();
