--- a/tests/harness/demo.cpp
+++ b/tests/harness/demo.cpp
@@ -43,10 +43,10 @@
 private:
   void step(const char *What, const std::string &Expected,
             const std::string &Came, bool IsGood);
-  CallerAnswer complete(int Entry, const std::string &Key,
-                        const std::string &Model, const std::string &Prompt,
-                        int Tokens, bool IsStream);
-  CallerAnswer charge(int Entry, const std::string &Body);
+  CallerResponse complete(int Entry, const std::string &Key,
+                          const std::string &Model, const std::string &Prompt,
+                          int Tokens, bool IsStream);
+  CallerResponse charge(int Entry, const std::string &Body);
   void startFleet();
   void serveModels();
   void serveService();
@@ -63,7 +63,7 @@
   int Good = 0;
 };
 
-std::string say(const CallerAnswer &Answer) {
+std::string say(const CallerResponse &Answer) {
   return std::to_string(Answer.Status) + (Answer.IsWhole ? " whole" : " cut");
 }
 
@@ -76,9 +76,10 @@
   std::fflush(stdout);
 }
 
-CallerAnswer Demo::complete(int Entry, const std::string &UsedKey,
-                            const std::string &Model, const std::string &Prompt,
-                            int Tokens, bool IsStream) {
+CallerResponse Demo::complete(int Entry, const std::string &UsedKey,
+                              const std::string &Model,
+                              const std::string &Prompt, int Tokens,
+                              bool IsStream) {
   std::string body = "{\"model\":\"" + Model + "\",\"prompt\":\"" + Prompt +
                      "\",\"max_tokens\":" + std::to_string(Tokens) +
                      ",\"stream\":" + (IsStream ? "true" : "false") + "}";
@@ -90,7 +91,7 @@
                   seconds(70));
 }
 
-CallerAnswer Demo::charge(int Entry, const std::string &Body) {
+CallerResponse Demo::charge(int Entry, const std::string &Body) {
   return callHttp(Fleet.entry(Entry),
                   {"POST", Names.ServicePath, {{"x-api-key", Key}}, Body});
 }
@@ -113,33 +114,33 @@
   });
   step("endpoints announce themselves", "4 listed",
        isListed ? "4 listed" : "fewer", isListed);
-  CallerAnswer cold = complete(1, Key, Names.Model, "first", 20, true);
+  CallerResponse cold = complete(1, Key, Names.Model, "first", 20, true);
   bool isWhole = cold.Status == 200 && cold.IsWhole &&
                  cold.Body.find("t19-") != std::string::npos &&
                  cold.Body.find("[DONE]") != std::string::npos;
   step("cold model, streamed", "200 whole, 20 tokens", say(cold), isWhole);
-  CallerAnswer warm = complete(2, Key, Names.Model, "second", 20, false);
+  CallerResponse warm = complete(2, Key, Names.Model, "second", 20, false);
   step("warm model, other entry", "200 whole", say(warm),
        warm.Status == 200 && warm.IsWhole);
-  CallerAnswer adapter = complete(1, Key, Names.Adapter, "third", 10, true);
+  CallerResponse adapter = complete(1, Key, Names.Adapter, "third", 10, true);
   step("adapter", "200 whole", say(adapter),
        adapter.Status == 200 && adapter.IsWhole);
 }
 
 void Demo::serveService() {
-  CallerAnswer first = charge(1, "{\"charge\":1}");
+  CallerResponse first = charge(1, "{\"charge\":1}");
   step("plain service, a charge", "200, run once",
        say(first) + " " + first.Body,
        first.Status == 200 &&
            first.Body.find("\"runs\":1") != std::string::npos);
-  CallerAnswer again = charge(2, "{\"charge\":1}");
+  CallerResponse again = charge(2, "{\"charge\":1}");
   step("the same charge again, other entry", "the first answer, not run",
        say(again) + " " + again.Body,
        again.Status == 200 && again.Body == first.Body);
 }
 
 void Demo::refuse() {
-  CallerAnswer wrong = complete(1, "sk-wrong", Names.Model, "x", 5, false);
+  CallerResponse wrong = complete(1, "sk-wrong", Names.Model, "x", 5, false);
   step("wrong key", "401 not_run", say(wrong),
        wrong.Status == 401 && wrong.Body.find("not_run") != std::string::npos);
   std::string small = Fleet.grantKey(Names.SmallTenant, "small");
@@ -148,8 +149,9 @@
   std::vector<std::thread> callers;
   for (int i = 0; i < 60; ++i)
     callers.emplace_back([&, i] {
-      CallerAnswer answer = complete(1 + i % 2, small, Names.Model,
-                                     "burst " + std::to_string(i), 500, false);
+      CallerResponse answer =
+          complete(1 + i % 2, small, Names.Model, "burst " + std::to_string(i),
+                   500, false);
       served += answer.Status == 200;
       refused += answer.Status == 429;
     });
@@ -172,7 +174,7 @@
   });
   waitUntil(seconds(10), [&] { return served > 5; });
   ToolResult result = Fleet.ctl({"--wait", "key", "withdraw", "second"});
-  CallerAnswer after = complete(2, key, Names.Model, "after", 2, false);
+  CallerResponse after = complete(2, key, Names.Model, "after", 2, false);
   isOver = true;
   traffic.join();
   step("key withdrawn during traffic", "in force, then 401",
@@ -185,16 +187,17 @@
   std::string engine =
       where.Out.substr(at + Names.Model.size() + 4, std::strlen("engine-1"));
   Fleet.kill(engine + "-endpoint");
-  CallerAnswer moved = complete(1, Key, Names.Model, "after a kill", 10, true);
+  CallerResponse moved =
+      complete(1, Key, Names.Model, "after a kill", 10, true);
   step("engine killed", "200 from another", say(moved) + " after " + engine,
        moved.Status == 200 && moved.IsWhole);
   std::string old = Fleet.leader();
   Fleet.kill(old);
-  CallerAnswer during =
+  CallerResponse during =
       complete(2, Key, Names.Model, "leader is gone", 10, true);
   step("control leader killed, warm model", "200 whole", say(during),
        during.Status == 200 && during.IsWhole);
-  CallerAnswer cold =
+  CallerResponse cold =
       complete(1, Key, Names.OtherModel, "new leader", 10, true);
   step("cold model under the new leader", "200 whole",
        say(cold) + ", was " + old + ", is " + Fleet.leader(),
@@ -206,7 +209,7 @@
   for (const std::string &it : Fleet.running()) {
     if (it.find("-endpoint") == std::string::npos)
       continue;
-    CallerAnswer state =
+    CallerResponse state =
         callHttp(Fleet.httpOf(it), {"GET", "/admin/state", {}, {}});
     bool isClean =
         state.Body.find("\"overcommits\":0,\"keys_seen\":0,\"strays\":0") !=
--- a/tests/harness/front_fleet.cpp
+++ b/tests/harness/front_fleet.cpp
@@ -119,9 +119,9 @@
 namespace {
 
 /// Follows one redirection to the leader.
-CallerAnswer callLeader(const std::string &Address,
-                        const HttpRequest &Request) {
-  CallerAnswer answer = callHttp(Address, Request, seconds(3));
+CallerResponse callLeader(const std::string &Address,
+                          const HttpRequest &Request) {
+  CallerResponse answer = callHttp(Address, Request, seconds(3));
   if (answer.Status != 307)
     return answer;
   std::string location(fieldOf(answer.Fields, "location"));
@@ -136,7 +136,7 @@
 }
 
 std::string FrontFleet::readTable(int Host) const {
-  CallerAnswer answer =
+  CallerResponse answer =
       callLeader(control(Host), {"GET", "/Config.Get", {}, {}});
   return answer.Status == 200 ? answer.Body : std::string();
 }
@@ -219,9 +219,9 @@
          std::to_string(RatePerSecond) + R"(,"api-keys":["secret-key"]}]})";
 }
 
-CallerAnswer ask(const std::string &Address, const std::string &Id,
-                 const std::string &Model, const std::string &Key,
-                 const std::string &Path) {
+CallerResponse ask(const std::string &Address, const std::string &Id,
+                   const std::string &Model, const std::string &Key,
+                   const std::string &Path) {
   HttpRequest request{"POST",
                       Path,
                       {{"authorization", "Bearer " + Key},
--- a/tests/harness/process_fleet.cpp
+++ b/tests/harness/process_fleet.cpp
@@ -55,7 +55,7 @@
 
 /// Reads the answer's body until it ends or breaks.
 void readAnswer(beast::tcp_stream &Stream, asio::io_context &Io,
-                CallerAnswer &Answer, std::chrono::seconds Limit) {
+                CallerResponse &Answer, std::chrono::seconds Limit) {
   beast::flat_buffer buffer;
   http::response_parser<http::string_body> parser;
   parser.body_limit(std::numeric_limits<uint64_t>::max());
@@ -84,9 +84,9 @@
 
 } // namespace
 
-CallerAnswer callHttp(const std::string &Address, const HttpRequest &Request,
-                      std::chrono::seconds Limit) {
-  CallerAnswer answer;
+CallerResponse callHttp(const std::string &Address, const HttpRequest &Request,
+                        std::chrono::seconds Limit) {
+  CallerResponse answer;
   auto address = parseAddress(Address);
   asio::io_context io;
   beast::tcp_stream stream(io);
@@ -396,8 +396,8 @@
 
 double ProcessFleet::metric(const std::string &Process,
                             const std::string &Name) {
-  CallerAnswer answer = callHttp(httpOf(Process), {"GET", "/metrics", {}, {}},
-                                 std::chrono::seconds(2));
+  CallerResponse answer = callHttp(httpOf(Process), {"GET", "/metrics", {}, {}},
+                                   std::chrono::seconds(2));
   std::istringstream in(answer.Body);
   std::string line;
   while (std::getline(in, line))
--- a/tests/harness/process_fleet.h
+++ b/tests/harness/process_fleet.h
@@ -16,7 +16,7 @@
 namespace sassafras {
 
 /// A caller's view of an answer.
-struct CallerAnswer {
+struct CallerResponse {
   unsigned Status = 0; ///< 0 when no head came.
   std::vector<HttpField> Fields;
   std::string Body;
@@ -31,8 +31,8 @@
 };
 
 /// One blocking request to \p Address.
-CallerAnswer callHttp(const std::string &Address, const HttpRequest &Request,
-                      std::chrono::seconds Limit = std::chrono::seconds(30));
+CallerResponse callHttp(const std::string &Address, const HttpRequest &Request,
+                        std::chrono::seconds Limit = std::chrono::seconds(30));
 
 /// One kind of fleet: names of its samples and zones.
 struct Deployment {
--- a/tests/process/test_fronts.cpp
+++ b/tests/process/test_fronts.cpp
@@ -16,7 +16,7 @@
   for (int i = 1; i <= test.Fleet.fronts(); ++i) {
     INFO("front " << i);
     std::string id = "id-" + std::to_string(i);
-    CallerAnswer answer;
+    CallerResponse answer;
     REQUIRE(waitUntil(seconds(10), [&] {
       answer = ask(test.Fleet.callers(i), id, "warm");
       return answer.Status == 200;
@@ -85,7 +85,7 @@
   REQUIRE(waitUntil(seconds(10), [&] {
     return ask(test.Fleet.callers(4), "first", "warm").Status == 200;
   }));
-  CallerAnswer answer;
+  CallerResponse answer;
   std::thread caller(
       [&] { answer = ask(test.Fleet.callers(4), "running", "warm"); });
   std::this_thread::sleep_for(Millis(600));
--- a/tests/process/test_processes.cpp
+++ b/tests/process/test_processes.cpp
@@ -55,8 +55,8 @@
     return n;
   }
 
-  CallerAnswer complete(int Entry, const std::string &Prompt, int Tokens = 5,
-                        bool IsStream = true, const char *Model = "m1") {
+  CallerResponse complete(int Entry, const std::string &Prompt, int Tokens = 5,
+                          bool IsStream = true, const char *Model = "m1") {
     return callHttp(Fleet.entry(Entry),
                     {"POST",
                      "/v1/completions",
@@ -67,7 +67,7 @@
                          ",\"stream\":" + (IsStream ? "true}" : "false}")});
   }
 
-  CallerAnswer charge(int Entry, const std::string &Body) {
+  CallerResponse charge(int Entry, const std::string &Body) {
     return callHttp(
         Fleet.entry(Entry),
         {"POST", "/crew/charge", {{"authorization", "Bearer " + Key}}, Body});
@@ -75,8 +75,8 @@
 
   /// Runs of a body at the service, by its own count.
   int runsOf(const std::string &Body) {
-    CallerAnswer state = callHttp(Fleet.httpOf("service-1-endpoint"),
-                                  {"GET", "/admin/state", {}, {}});
+    CallerResponse state = callHttp(Fleet.httpOf("service-1-endpoint"),
+                                    {"GET", "/admin/state", {}, {}});
     // No answer is not the same as no run.
     REQUIRE(state.Status == 200);
     size_t at = state.Body.find("\"" + Body + "\":");
@@ -96,7 +96,7 @@
     for (int i = 0; i < Callers; ++i)
       Threads.emplace_back([this, &Fleet, Entry, i] {
         for (int n = 0; !IsOver; ++n) {
-          CallerAnswer answer = Fleet.complete(
+          CallerResponse answer = Fleet.complete(
               Entry, "traffic " + std::to_string(i * 1000 + n), 40);
           bool isServed = answer.Status == 200 && answer.IsWhole &&
                           answer.Body.find("[DONE]") != std::string::npos;
@@ -124,7 +124,7 @@
   std::vector<std::thread> Threads;
 };
 
-bool isDone(const CallerAnswer &Answer) {
+bool isDone(const CallerResponse &Answer) {
   return Answer.Status == 200 && Answer.IsWhole;
 }
 
@@ -172,7 +172,7 @@
 TEST_CASE("withdrawn key cuts a running stream openly") {
   TestFleet test;
   REQUIRE(isDone(test.complete(1, "warm up")));
-  CallerAnswer answer;
+  CallerResponse answer;
   std::thread caller([&] { answer = test.complete(1, "long", 1500); });
   std::this_thread::sleep_for(seconds(1));
   CHECK(test.Fleet.ctl({"--wait", "key", "withdraw", "first"}).Code == 0);
@@ -190,7 +190,7 @@
     test.Fleet.signal(ProcessFleet::controlName(i), SIGSTOP);
   CHECK(waitUntil(seconds(10),
                   [&] { return test.complete(1, "x").Status == 503; }));
-  CallerAnswer open =
+  CallerResponse open =
       callHttp(test.Fleet.entry(1), {"GET", "/open/page", {}, {}});
   CHECK(open.Status != 401);
   for (int i = 1; i <= 3; ++i)
@@ -219,7 +219,7 @@
   // Two leaders were lost within the time that an entry relies on the last one
   // heard: it may refuse until the third has answered it.
   for (int entry : {1, 2}) {
-    CallerAnswer again;
+    CallerResponse again;
     bool isServed = waitUntil(seconds(10), [&] {
       again = test.charge(entry, "{\"charge\":7}");
       return again.Status == 200;
@@ -290,7 +290,7 @@
 
 TEST_CASE("charge whose agent dies is said to may have run and never reruns") {
   TestFleet test;
-  CallerAnswer answer;
+  CallerResponse answer;
   std::thread caller([&] { answer = test.charge(1, "{\"charge\":\"SLOW\"}"); });
   REQUIRE(waitUntil(seconds(5), [&] {
     return test.runsOf("{\\\"charge\\\":\\\"SLOW\\\"}") == 1;
@@ -300,7 +300,7 @@
   CHECK(answer.Status >= 400);
   CHECK(answer.Body.find("may_have_run") != std::string::npos);
   test.Fleet.startService();
-  CallerAnswer again = test.charge(2, "{\"charge\":\"SLOW\"}");
+  CallerResponse again = test.charge(2, "{\"charge\":\"SLOW\"}");
   CHECK(again.Status == 409);
   CHECK(again.Body.find("may_have_run") != std::string::npos);
 }
@@ -308,7 +308,7 @@
 TEST_CASE("request that crashes its endpoint is barred after two deaths") {
   TestFleet test(3);
   REQUIRE(isDone(test.complete(1, "warm up")));
-  CallerAnswer first = test.complete(1, "CRASH", 5, false);
+  CallerResponse first = test.complete(1, "CRASH", 5, false);
   CHECK(first.Status >= 400);
   auto deaths = [&] {
     int n = 0;
@@ -331,9 +331,9 @@
 TEST_CASE("answer that breaks off is never passed on as whole") {
   TestFleet test;
   REQUIRE(isDone(test.complete(1, "warm up")));
-  CallerAnswer cut = test.complete(1, "CUT here", 20);
+  CallerResponse cut = test.complete(1, "CUT here", 20);
   CHECK_FALSE(isDone(cut));
-  CallerAnswer stalled = test.complete(1, "STALL here", 20, true, "m2");
+  CallerResponse stalled = test.complete(1, "STALL here", 20, true, "m2");
   CHECK(stalled.Status == 503);
   CHECK(stalled.Body.find("may_have_run") != std::string::npos);
 }
@@ -373,12 +373,12 @@
     INFO(it.What);
     CHECK(callHttp(test.Fleet.entry(1), it.Request).Status == it.Status);
   }
-  CallerAnswer state = callHttp(test.Fleet.httpOf("service-1-endpoint"),
-                                {"GET", "/admin/state", {}, {}});
+  CallerResponse state = callHttp(test.Fleet.httpOf("service-1-endpoint"),
+                                  {"GET", "/admin/state", {}, {}});
   CHECK(state.Body.find("\"keys_seen\":0") != std::string::npos);
   for (const std::string &it : test.Fleet.running())
     CHECK(test.Fleet.log(it).find(key) == std::string::npos);
-  CallerAnswer metrics =
+  CallerResponse metrics =
       callHttp(test.Fleet.entry(1), {"GET", "/metrics", {}, {}});
   CHECK(metrics.Body.find("sk-") == std::string::npos);
 }
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -72,7 +72,7 @@
 /// What must hold, from what was seen.
 class Promises {
 public:
-  void note(const std::string &Id, const CallerAnswer &Answer) {
+  void note(const std::string &Id, const CallerResponse &Answer) {
     std::lock_guard guard(Lock);
     ++Report.Asked;
     bool isPromise = Answer.Status == 429 || Answer.Status == 503;
@@ -92,7 +92,7 @@
     Served.insert(Id);
   }
 
-  void noteForeign(const CallerAnswer &Answer) {
+  void noteForeign(const CallerResponse &Answer) {
     std::lock_guard guard(Lock);
     if (Answer.Status == 200)
       breakOne("a request with a wrong key was served");
@@ -147,9 +147,9 @@
   int Acknowledged = 0;
 };
 
-CallerAnswer call(const std::string &Address, const std::string &Path,
-                  const std::string &Id, const std::string &Model,
-                  const std::string &Key) {
+CallerResponse call(const std::string &Address, const std::string &Path,
+                    const std::string &Id, const std::string &Model,
+                    const std::string &Key) {
   HttpRequest request{"POST",
                       Path,
                       {{"authorization", "Bearer " + Key},
@@ -391,11 +391,11 @@
       int n = 0;
       bool isServing = waitUntil(HealLimit, [&] {
         std::string id = name + "-healed-" + std::to_string(n++);
-        CallerAnswer stream =
+        CallerResponse stream =
             call(Fleet.callers(i), "/p/x", id, "warm", "secret-key");
         Rules.note(id, stream);
         std::string once = id + "-once";
-        CallerAnswer desk =
+        CallerResponse desk =
             call(Fleet.callers(i), "/d/x", once, "", "secret-key");
         Rules.note(once, desk);
         return stream.Status == 200 && desk.Status == 200;
