--- a/tests/harness/demo.cpp
+++ b/tests/harness/demo.cpp
@@ -64,7 +64,8 @@
 };
 
 std::string say(const CallerResponse &Answer) {
-  return std::to_string(Answer.Status) + (Answer.IsWhole ? " whole" : " cut");
+  return std::to_string(Answer.Status) +
+         (Answer.IsComplete ? " whole" : " cut");
 }
 
 void Demo::step(const char *What, const std::string &Expected,
@@ -115,16 +116,16 @@
   step("endpoints announce themselves", "4 listed",
        isListed ? "4 listed" : "fewer", isListed);
   CallerResponse cold = complete(1, Key, Names.Model, "first", 20, true);
-  bool isWhole = cold.Status == 200 && cold.IsWhole &&
+  bool isWhole = cold.Status == 200 && cold.IsComplete &&
                  cold.Body.find("t19-") != std::string::npos &&
                  cold.Body.find("[DONE]") != std::string::npos;
   step("cold model, streamed", "200 whole, 20 tokens", say(cold), isWhole);
   CallerResponse warm = complete(2, Key, Names.Model, "second", 20, false);
   step("warm model, other entry", "200 whole", say(warm),
-       warm.Status == 200 && warm.IsWhole);
+       warm.Status == 200 && warm.IsComplete);
   CallerResponse adapter = complete(1, Key, Names.Adapter, "third", 10, true);
   step("adapter", "200 whole", say(adapter),
-       adapter.Status == 200 && adapter.IsWhole);
+       adapter.Status == 200 && adapter.IsComplete);
 }
 
 void Demo::serveService() {
@@ -190,18 +191,18 @@
   CallerResponse moved =
       complete(1, Key, Names.Model, "after a kill", 10, true);
   step("engine killed", "200 from another", say(moved) + " after " + engine,
-       moved.Status == 200 && moved.IsWhole);
+       moved.Status == 200 && moved.IsComplete);
   std::string old = Fleet.leader();
   Fleet.kill(old);
   CallerResponse during =
       complete(2, Key, Names.Model, "leader is gone", 10, true);
   step("control leader killed, warm model", "200 whole", say(during),
-       during.Status == 200 && during.IsWhole);
+       during.Status == 200 && during.IsComplete);
   CallerResponse cold =
       complete(1, Key, Names.OtherModel, "new leader", 10, true);
   step("cold model under the new leader", "200 whole",
        say(cold) + ", was " + old + ", is " + Fleet.leader(),
-       cold.Status == 200 && cold.IsWhole);
+       cold.Status == 200 && cold.IsComplete);
 }
 
 void Demo::inspect() {
--- a/tests/harness/process_fleet.cpp
+++ b/tests/harness/process_fleet.cpp
@@ -79,7 +79,7 @@
     Answer.Fields.push_back({name, std::string(it.value())});
   }
   Answer.Body = parser.get().body();
-  Answer.IsWhole = !error && parser.is_done();
+  Answer.IsComplete = !error && parser.is_done();
 }
 
 } // namespace
--- a/tests/harness/process_fleet.h
+++ b/tests/harness/process_fleet.h
@@ -20,7 +20,7 @@
   unsigned Status = 0; ///< 0 when no head came.
   std::vector<HttpField> Fields;
   std::string Body;
-  bool IsWhole = false; ///< The answer ended as HTTP says it should.
+  bool IsComplete = false; ///< The answer ended as HTTP says it should.
 };
 
 /// What a command printed and returned.
--- a/tests/process/test_fronts.cpp
+++ b/tests/process/test_fronts.cpp
@@ -21,7 +21,7 @@
       answer = ask(test.Fleet.callers(i), id, "warm");
       return answer.Status == 200;
     }));
-    CHECK(answer.IsWhole);
+    CHECK(answer.IsComplete);
     CHECK(answer.Body.find("id: 10\n") != std::string::npos);
     CHECK(fieldOf(answer.Fields, "sassafrasseam-response-seal") == "seal");
   }
@@ -92,7 +92,7 @@
   test.Fleet.signal(FrontFleet::frontName(4), SIGTERM);
   CHECK(waitUntil(seconds(2), [&] { return !test.Fleet.isReady(4); }));
   caller.join();
-  CHECK(answer.IsWhole);
+  CHECK(answer.IsComplete);
   CHECK(answer.Body.find("id: 10\n") != std::string::npos);
   CHECK(test.Fleet.waitForExit(FrontFleet::frontName(4), seconds(8)) == 0);
 }
--- a/tests/process/test_processes.cpp
+++ b/tests/process/test_processes.cpp
@@ -98,7 +98,7 @@
         for (int n = 0; !IsOver; ++n) {
           CallerResponse answer = Fleet.complete(
               Entry, "traffic " + std::to_string(i * 1000 + n), 40);
-          bool isServed = answer.Status == 200 && answer.IsWhole &&
+          bool isServed = answer.Status == 200 && answer.IsComplete &&
                           answer.Body.find("[DONE]") != std::string::npos;
           // No connection is no request: the balancer asks another entry.
           if (answer.Status == 0)
@@ -125,7 +125,7 @@
 };
 
 bool isDone(const CallerResponse &Answer) {
-  return Answer.Status == 200 && Answer.IsWhole;
+  return Answer.Status == 200 && Answer.IsComplete;
 }
 
 } // namespace
@@ -178,7 +178,7 @@
   CHECK(test.Fleet.ctl({"--wait", "key", "withdraw", "first"}).Code == 0);
   caller.join();
   CHECK(answer.Status == 200);
-  CHECK_FALSE(answer.IsWhole);
+  CHECK_FALSE(answer.IsComplete);
   CHECK(answer.Body.find("event: error") != std::string::npos);
   CHECK(answer.Body.find("key_unknown") != std::string::npos);
 }
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -76,11 +76,11 @@
     std::lock_guard guard(Lock);
     ++Report.Asked;
     bool isPromise = Answer.Status == 429 || Answer.Status == 503;
-    if (isPromise && Answer.IsWhole) {
+    if (isPromise && Answer.IsComplete) {
       ++Report.Refused;
       NotRun.insert(Id);
     }
-    if (Answer.Status != 200 || !Answer.IsWhole)
+    if (Answer.Status != 200 || !Answer.IsComplete)
       return;
     ++Report.Answered;
     if (Answer.Body != wholeBody())
