--- a/tests/fakes/fake_platform_engine.cpp
+++ b/tests/fakes/fake_platform_engine.cpp
@@ -78,7 +78,7 @@
   Server.reset();
 }
 
-std::vector<SeenRequest> FakePlatformEngine::seen() const {
+std::vector<ReceivedRequest> FakePlatformEngine::receivedRequests() const {
   std::lock_guard guard(Lock);
   return Seen;
 }
--- a/tests/fakes/fake_platform_engine.h
+++ b/tests/fakes/fake_platform_engine.h
@@ -21,7 +21,7 @@
 namespace sassafras {
 
 /// What the engine saw of one request.
-struct SeenRequest {
+struct ReceivedRequest {
   std::string Id;
   std::vector<HttpField> Fields;
   std::string Body;
@@ -40,7 +40,7 @@
   bool announce(const std::string &Control, bool IsDraining = false);
   /// The address that announcements name in place of its own.
   void announceAs(const std::string &Proxy) { Announced = Proxy; }
-  std::vector<SeenRequest> seen() const;
+  std::vector<ReceivedRequest> receivedRequests() const;
   size_t countOrders() const { return Orders; }
   /// Time between the events of a stream.
   void setPace(Millis Pace) { this->Pace = Pace; }
@@ -71,7 +71,7 @@
   mutable std::mutex Lock;
   std::set<std::string> Models;
   std::set<std::string> OnDisk;
-  std::vector<SeenRequest> Seen;
+  std::vector<ReceivedRequest> Seen;
   uint64_t Sequence = 0;
   uint64_t Beats = 0;
   std::atomic<size_t> Orders{0};
--- a/tests/process/test_fronts.cpp
+++ b/tests/process/test_fronts.cpp
@@ -25,7 +25,7 @@
     CHECK(answer.Body.find("id: 10\n") != std::string::npos);
     CHECK(fieldOf(answer.Fields, "sassafrasseam-response-seal") == "seal");
   }
-  for (const SeenRequest &it : test.Engine.seen()) {
+  for (const ReceivedRequest &it : test.Engine.receivedRequests()) {
     CHECK(it.Body == "body");
     CHECK(fieldOf(it.Fields, "sassafrasseam-tenant") == "first");
     CHECK(fieldOf(it.Fields, "sassafrasseam-expect-instance") == "i-1");
@@ -73,10 +73,10 @@
   test.stopAnnouncing();
   REQUIRE(test.Engine.announce(test.Fleet.control(2), true));
   std::this_thread::sleep_for(Millis(500));
-  size_t seen = test.Engine.seen().size();
+  size_t seen = test.Engine.receivedRequests().size();
   for (int i = 1; i <= test.Fleet.fronts(); ++i)
     CHECK(ask(test.Fleet.callers(i), "after", "warm").Status == 503);
-  CHECK(test.Engine.seen().size() == seen);
+  CHECK(test.Engine.receivedRequests().size() == seen);
 }
 
 TEST_CASE("stop lets a running stream end and refuses nothing midway") {
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -105,10 +105,10 @@
   }
 
   /// After the end: what endpoints saw.
-  void checkRuns(const std::vector<SeenRequest> &Seen) {
+  void checkRuns(const std::vector<ReceivedRequest> &Seen) {
     std::lock_guard guard(Lock);
     std::map<std::string, int> runs;
-    for (const SeenRequest &it : Seen) {
+    for (const ReceivedRequest &it : Seen) {
       ++runs[it.Id];
       for (const HttpField &field : it.Fields)
         if (field.Value.find("secret-key") != std::string::npos)
@@ -200,9 +200,9 @@
     IsOver = true;
     for (std::thread &it : threads)
       it.join();
-    std::vector<SeenRequest> seen;
+    std::vector<ReceivedRequest> seen;
     for (const auto &it : Endpoints)
-      for (SeenRequest &request : it->Engine.seen())
+      for (ReceivedRequest &request : it->Engine.receivedRequests())
         seen.push_back(std::move(request));
     Rules.checkRuns(seen);
     return Rules.Report;
