--- a/tests/fakes/fake_platform_engine.h
+++ b/tests/fakes/fake_platform_engine.h
@@ -43,7 +43,7 @@
   std::vector<ReceivedRequest> receivedRequests() const;
   size_t countOrders() const { return Orders; }
   /// Time between the events of a stream.
-  void setPace(Millis Pace) { this->Pace = Pace; }
+  void setEventInterval(Millis Pace) { this->Pace = Pace; }
   /// Time from an accepted load to the loaded model.
   void setLoadTime(Millis Time) { LoadTime = Time; }
   /// Requests that run get a connection closed midway in place of an answer.
--- a/tests/process/test_fronts.cpp
+++ b/tests/process/test_fronts.cpp
@@ -81,7 +81,7 @@
 
 TEST_CASE("stop lets a running stream end and refuses nothing midway") {
   ServedFleet test;
-  test.Engine.setPace(Millis(300));
+  test.Engine.setEventInterval(Millis(300));
   REQUIRE(waitUntil(seconds(10), [&] {
     return ask(test.Fleet.callers(4), "first", "warm").Status == 200;
   }));
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -62,7 +62,7 @@
                Models, OnDisk),
         Proxy(Fleet.at(Host, ProxyPort), Fleet.at(Host, EnginePort)) {
     Engine.announceAs(Fleet.at(Host, ProxyPort));
-    Engine.setPace(Millis(20));
+    Engine.setEventInterval(Millis(20));
   }
 
   FakePlatformEngine Engine;
