--- a/tests/fakes/fake_platform_engine.h
+++ b/tests/fakes/fake_platform_engine.h
@@ -39,7 +39,7 @@
   /// Announces itself to \p Control once.
   bool announce(const std::string &Control, bool IsDraining = false);
   /// The address that announcements name in place of its own.
-  void announceAs(const std::string &Proxy) { Announced = Proxy; }
+  void setAnnouncedAddress(const std::string &Proxy) { Announced = Proxy; }
   std::vector<ReceivedRequest> receivedRequests() const;
   size_t countOrders() const { return Orders; }
   /// Time between the events of a stream.
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -61,7 +61,7 @@
       : Engine("i-" + std::to_string(Host), Service, Fleet.at(Host, EnginePort),
                Models, OnDisk),
         Proxy(Fleet.at(Host, ProxyPort), Fleet.at(Host, EnginePort)) {
-    Engine.announceAs(Fleet.at(Host, ProxyPort));
+    Engine.setAnnouncedAddress(Fleet.at(Host, ProxyPort));
     Engine.setEventInterval(Millis(20));
   }
 
