--- a/tests/fakes/fake_platform_engine.h
+++ b/tests/fakes/fake_platform_engine.h
@@ -47,7 +47,7 @@
   /// Time from an accepted load to the loaded model.
   void setLoadTime(Millis Time) { LoadTime = Time; }
   /// Requests that run get a connection closed midway in place of an answer.
-  void breakAnswers(bool AreBroken) { BreaksAnswers = AreBroken; }
+  void abortResponses(bool AreBroken) { BreaksAnswers = AreBroken; }
   /// Closes the server: nothing is answered any more.
   void hangUp();
 
--- a/tests/process/test_explaining.cpp
+++ b/tests/process/test_explaining.cpp
@@ -78,7 +78,7 @@
   REQUIRE(waitUntil(seconds(10), [&] {
     return ask(test.Fleet.callers(1), "first", "warm").Status == 200;
   }));
-  test.Engine.breakAnswers(true);
+  test.Engine.abortResponses(true);
   CallerResponse answer = ask(test.Fleet.callers(1), "broken-1", "warm");
   CHECK(answer.Status == 502);
   test.Engine.hangUp();
