--- a/tests/fakes/fake_platform_engine.cpp
+++ b/tests/fakes/fake_platform_engine.cpp
@@ -72,7 +72,7 @@
              .Status == 200;
 }
 
-void FakePlatformEngine::hangUp() {
+void FakePlatformEngine::stopServer() {
   Io.stop();
   Runner.join();
   Server.reset();
--- a/tests/fakes/fake_platform_engine.h
+++ b/tests/fakes/fake_platform_engine.h
@@ -49,7 +49,7 @@
   /// Requests that run get a connection closed midway in place of an answer.
   void abortResponses(bool AreBroken) { BreaksAnswers = AreBroken; }
   /// Closes the server: nothing is answered any more.
-  void hangUp();
+  void stopServer();
 
 private:
   void take(const HttpRequest &Request,
--- a/tests/process/test_explaining.cpp
+++ b/tests/process/test_explaining.cpp
@@ -81,7 +81,7 @@
   test.Engine.abortResponses(true);
   CallerResponse answer = ask(test.Fleet.callers(1), "broken-1", "warm");
   CHECK(answer.Status == 502);
-  test.Engine.hangUp();
+  test.Engine.stopServer();
   REQUIRE(waitUntil(seconds(10), [&] {
     return test.Fleet.log(FrontFleet::agentName(50)).find("engine_lost") !=
            std::string::npos;
