--- a/tests/harness/front_fleet.cpp
+++ b/tests/harness/front_fleet.cpp
@@ -219,9 +219,11 @@
          std::to_string(RatePerSecond) + R"(,"api-keys":["secret-key"]}]})";
 }
 
-CallerResponse ask(const std::string &Address, const std::string &Id,
-                   const std::string &Model, const std::string &Key,
-                   const std::string &Path) {
+CallerResponse sendCallerRequest(const std::string &Address,
+                                 const std::string &Id,
+                                 const std::string &Model,
+                                 const std::string &Key,
+                                 const std::string &Path) {
   HttpRequest request{"POST",
                       Path,
                       {{"authorization", "Bearer " + Key},
--- a/tests/harness/front_fleet.h
+++ b/tests/harness/front_fleet.h
@@ -82,10 +82,11 @@
                       uint64_t RatePerSecond = 0);
 
 /// One request of a caller with \p Id as its own.
-CallerResponse ask(const std::string &Address, const std::string &Id,
-                   const std::string &Model,
-                   const std::string &Key = "secret-key",
-                   const std::string &Path = "/p/x");
+CallerResponse sendCallerRequest(const std::string &Address,
+                                 const std::string &Id,
+                                 const std::string &Model,
+                                 const std::string &Key = "secret-key",
+                                 const std::string &Path = "/p/x");
 
 /// A fleet with a table in force and one engine that announces itself.
 struct ServedFleet {
--- a/tests/process/test_fronts.cpp
+++ b/tests/process/test_fronts.cpp
@@ -18,7 +18,7 @@
     std::string id = "id-" + std::to_string(i);
     CallerResponse answer;
     REQUIRE(waitUntil(seconds(10), [&] {
-      answer = ask(test.Fleet.callers(i), id, "warm");
+      answer = sendCallerRequest(test.Fleet.callers(i), id, "warm");
       return answer.Status == 200;
     }));
     CHECK(answer.IsComplete);
@@ -32,11 +32,14 @@
     for (const HttpField &field : it.Fields)
       CHECK(field.Value.find("secret-key") == std::string::npos);
   }
-  CHECK(ask(test.Fleet.callers(1), "x", "warm", "other").Status == 401);
-  CHECK(ask(test.Fleet.callers(1), "x", "warm", "secret-key", "/q/x").Status ==
-        404);
+  CHECK(sendCallerRequest(test.Fleet.callers(1), "x", "warm", "other").Status ==
+        401);
+  CHECK(sendCallerRequest(test.Fleet.callers(1), "x", "warm", "secret-key",
+                          "/q/x")
+            .Status == 404);
   size_t orders = test.Engine.countOrders();
-  CHECK(ask(test.Fleet.callers(4), "cold-1", "cold").Status == 200);
+  CHECK(sendCallerRequest(test.Fleet.callers(4), "cold-1", "cold").Status ==
+        200);
   CHECK(test.Engine.countOrders() > orders);
 }
 
@@ -55,8 +58,8 @@
     for (int i = 1; i <= test.Fleet.fronts(); ++i) {
       INFO("front " << i << " version " << version);
       CHECK(waitUntil(seconds(10), [&] {
-        return ask(test.Fleet.callers(i), "x", "warm", "secret-key",
-                   prefix + "x")
+        return sendCallerRequest(test.Fleet.callers(i), "x", "warm",
+                                 "secret-key", prefix + "x")
                    .Status == 200;
       }));
     }
@@ -68,14 +71,16 @@
 TEST_CASE("draining endpoint gets no new work from any front") {
   ServedFleet test;
   REQUIRE(waitUntil(seconds(10), [&] {
-    return ask(test.Fleet.callers(4), "before", "warm").Status == 200;
+    return sendCallerRequest(test.Fleet.callers(4), "before", "warm").Status ==
+           200;
   }));
   test.stopAnnouncing();
   REQUIRE(test.Engine.announce(test.Fleet.control(2), true));
   std::this_thread::sleep_for(Millis(500));
   size_t seen = test.Engine.receivedRequests().size();
   for (int i = 1; i <= test.Fleet.fronts(); ++i)
-    CHECK(ask(test.Fleet.callers(i), "after", "warm").Status == 503);
+    CHECK(sendCallerRequest(test.Fleet.callers(i), "after", "warm").Status ==
+          503);
   CHECK(test.Engine.receivedRequests().size() == seen);
 }
 
@@ -83,11 +88,13 @@
   ServedFleet test;
   test.Engine.setEventInterval(Millis(300));
   REQUIRE(waitUntil(seconds(10), [&] {
-    return ask(test.Fleet.callers(4), "first", "warm").Status == 200;
+    return sendCallerRequest(test.Fleet.callers(4), "first", "warm").Status ==
+           200;
   }));
   CallerResponse answer;
-  std::thread caller(
-      [&] { answer = ask(test.Fleet.callers(4), "running", "warm"); });
+  std::thread caller([&] {
+    answer = sendCallerRequest(test.Fleet.callers(4), "running", "warm");
+  });
   std::this_thread::sleep_for(Millis(600));
   test.Fleet.signal(FrontFleet::frontName(4), SIGTERM);
   CHECK(waitUntil(seconds(2), [&] { return !test.Fleet.isReady(4); }));
