--- a/tests/harness/front_fleet.cpp
+++ b/tests/harness/front_fleet.cpp
@@ -56,7 +56,7 @@
   return "agent-" + std::to_string(Host);
 }
 
-std::string FrontFleet::at(int Host, int Port) const {
+std::string FrontFleet::addressOf(int Host, int Port) const {
   return Net + std::to_string(Host) + ":" + std::to_string(Base + Port);
 }
 
@@ -64,11 +64,11 @@
   std::string name = frontName(Host);
   std::ostringstream toml;
   toml << "role = \"front\"\nfleet = \"test\"\nnode = \"" << name
-       << "\"\nzone = \"a\"\nlisten = \"" << at(Host, 0) << "\"\nhttp = \""
-       << callers(Host) << "\"\n[front_role]\nready = \"" << at(Host, 2)
-       << "\"\ncontrol = \"" << control(Host) << "\"\nseeds = [\"" << control(1)
-       << "\", \"" << control(2) << "\", \"" << control(3)
-       << "\"]\nmay_form = " << (IsNew ? "true" : "false")
+       << "\"\nzone = \"a\"\nlisten = \"" << addressOf(Host, 0)
+       << "\"\nhttp = \"" << callers(Host) << "\"\n[front_role]\nready = \""
+       << addressOf(Host, 2) << "\"\ncontrol = \"" << control(Host)
+       << "\"\nseeds = [\"" << control(1) << "\", \"" << control(2) << "\", \""
+       << control(3) << "\"]\nmay_form = " << (IsNew ? "true" : "false")
        << "\ndata_folder = \""
        << (Host <= Size.Disks ? Folder + "/" + name + "-data" : "") << "\"\n";
   spawn(name, toml.str());
@@ -77,9 +77,10 @@
 void FrontFleet::startAgent(int Host, const std::string &Engine) {
   std::ostringstream toml;
   toml << "role = \"engine_agent\"\nfleet = \"test\"\nnode = \"agent-" << Host
-       << "\"\nzone = \"a\"\nlisten = \"" << at(Host, 0) << "\"\nhttp = \""
-       << at(Host, 1) << "\"\n[engine_agent_role]\nengine = \"" << Engine
-       << "\"\nseeds = [\"" << control(1) << "\"]\n";
+       << "\"\nzone = \"a\"\nlisten = \"" << addressOf(Host, 0)
+       << "\"\nhttp = \"" << addressOf(Host, 1)
+       << "\"\n[engine_agent_role]\nengine = \"" << Engine << "\"\nseeds = [\""
+       << control(1) << "\"]\n";
   spawn(agentName(Host), toml.str());
 }
 
@@ -112,8 +113,8 @@
 }
 
 bool FrontFleet::isReady(int Host) const {
-  return callHttp(at(Host, 2), {"GET", "/ready", {}, {}}, seconds(2)).Status ==
-         200;
+  return callHttp(addressOf(Host, 2), {"GET", "/ready", {}, {}}, seconds(2))
+             .Status == 200;
 }
 
 namespace {
@@ -236,8 +237,9 @@
 }
 
 ServedFleet::ServedFleet(const std::string &Table)
-    : Engine("i-1", "chat", Fleet.at(EngineHost, 7), {"warm"}, {"cold"}) {
-  Fleet.startAgent(EngineHost, Fleet.at(EngineHost, 7));
+    : Engine("i-1", "chat", Fleet.addressOf(EngineHost, 7), {"warm"},
+             {"cold"}) {
+  Fleet.startAgent(EngineHost, Fleet.addressOf(EngineHost, 7));
   bool isPut =
       waitUntil(seconds(15), [&] { return Fleet.put(1, Table) == 200; });
   if (!isPut)
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -58,10 +58,11 @@
   SoakEndpoint(const FrontFleet &Fleet, int Host, const std::string &Service,
                const std::set<std::string> &Models,
                const std::set<std::string> &OnDisk)
-      : Engine("i-" + std::to_string(Host), Service, Fleet.at(Host, EnginePort),
-               Models, OnDisk),
-        Proxy(Fleet.at(Host, ProxyPort), Fleet.at(Host, EnginePort)) {
-    Engine.setAnnouncedAddress(Fleet.at(Host, ProxyPort));
+      : Engine("i-" + std::to_string(Host), Service,
+               Fleet.addressOf(Host, EnginePort), Models, OnDisk),
+        Proxy(Fleet.addressOf(Host, ProxyPort),
+              Fleet.addressOf(Host, EnginePort)) {
+    Engine.setAnnouncedAddress(Fleet.addressOf(Host, ProxyPort));
     Engine.setEventInterval(Millis(20));
   }
 
@@ -178,7 +179,7 @@
       Endpoints.push_back(std::make_unique<SoakEndpoint>(
           Fleet, host, "chat", std::set<std::string>{isFirst ? "cold" : "warm"},
           std::set<std::string>{isFirst ? "warm" : "cold"}));
-      Fleet.startAgent(host, Fleet.at(host, ProxyPort));
+      Fleet.startAgent(host, Fleet.addressOf(host, ProxyPort));
     }
     for (int i = 0; i < DeskCount; ++i)
       Endpoints.push_back(std::make_unique<SoakEndpoint>(
@@ -317,8 +318,9 @@
     if (!isFree(name))
       return;
     Fleet.kill(name);
-    begin("kill", name, Millis(draw(100, 1'500)),
-          [this, host] { Fleet.startAgent(host, Fleet.at(host, ProxyPort)); });
+    begin("kill", name, Millis(draw(100, 1'500)), [this, host] {
+      Fleet.startAgent(host, Fleet.addressOf(host, ProxyPort));
+    });
   }
 
   void harmFront(int Host, int Kind) {
