--- a/tests/harness/front_fleet.cpp
+++ b/tests/harness/front_fleet.cpp
@@ -65,10 +65,11 @@
   std::ostringstream toml;
   toml << "role = \"front\"\nfleet = \"test\"\nnode = \"" << name
        << "\"\nzone = \"a\"\nlisten = \"" << addressOf(Host, 0)
-       << "\"\nhttp = \"" << callers(Host) << "\"\n[front_role]\nready = \""
-       << addressOf(Host, 2) << "\"\ncontrol = \"" << control(Host)
-       << "\"\nseeds = [\"" << control(1) << "\", \"" << control(2) << "\", \""
-       << control(3) << "\"]\nmay_form = " << (IsNew ? "true" : "false")
+       << "\"\nhttp = \"" << callerAddress(Host)
+       << "\"\n[front_role]\nready = \"" << addressOf(Host, 2)
+       << "\"\ncontrol = \"" << control(Host) << "\"\nseeds = [\"" << control(1)
+       << "\", \"" << control(2) << "\", \"" << control(3)
+       << "\"]\nmay_form = " << (IsNew ? "true" : "false")
        << "\ndata_folder = \""
        << (Host <= Size.Disks ? Folder + "/" + name + "-data" : "") << "\"\n";
   spawn(name, toml.str());
--- a/tests/process/test_explaining.cpp
+++ b/tests/process/test_explaining.cpp
@@ -49,15 +49,15 @@
 TEST_CASE("refusal within the rate is traced to a front's share of the rate") {
   ServedFleet test(tableText(1, "/p/", 4));
   REQUIRE(waitUntil(seconds(10), [&] {
-    return sendCallerRequest(test.Fleet.callers(1), "first", "warm").Status ==
-           200;
+    return sendCallerRequest(test.Fleet.callerAddress(1), "first", "warm")
+               .Status == 200;
   }));
   // All callers come to one front at once, which has a part of the rate only.
   std::vector<unsigned> statuses(40);
   std::vector<std::thread> callers;
   for (size_t i = 0; i < statuses.size(); ++i)
     callers.emplace_back([&, i] {
-      statuses[i] = sendCallerRequest(test.Fleet.callers(1),
+      statuses[i] = sendCallerRequest(test.Fleet.callerAddress(1),
                                       "burst-" + std::to_string(i), "warm")
                         .Status;
     });
@@ -77,12 +77,12 @@
 TEST_CASE("answer that broke after it may have run is traced to its engine") {
   ServedFleet test;
   REQUIRE(waitUntil(seconds(10), [&] {
-    return sendCallerRequest(test.Fleet.callers(1), "first", "warm").Status ==
-           200;
+    return sendCallerRequest(test.Fleet.callerAddress(1), "first", "warm")
+               .Status == 200;
   }));
   test.Engine.abortResponses(true);
   CallerResponse answer =
-      sendCallerRequest(test.Fleet.callers(1), "broken-1", "warm");
+      sendCallerRequest(test.Fleet.callerAddress(1), "broken-1", "warm");
   CHECK(answer.Status == 502);
   test.Engine.stopServer();
   REQUIRE(waitUntil(seconds(10), [&] {
@@ -99,12 +99,13 @@
 TEST_CASE("late answer is traced to the load of its model") {
   ServedFleet test;
   REQUIRE(waitUntil(seconds(10), [&] {
-    return sendCallerRequest(test.Fleet.callers(1), "first", "warm").Status ==
-           200;
+    return sendCallerRequest(test.Fleet.callerAddress(1), "first", "warm")
+               .Status == 200;
   }));
   test.Engine.setLoadTime(Millis(600));
-  REQUIRE(sendCallerRequest(test.Fleet.callers(3), "cold-1", "cold").Status ==
-          200);
+  REQUIRE(
+      sendCallerRequest(test.Fleet.callerAddress(3), "cold-1", "cold").Status ==
+      200);
   std::string trace = explain(test.Fleet, "cold-1");
   INFO(trace);
   CHECK(tells(trace,
--- a/tests/process/test_fronts.cpp
+++ b/tests/process/test_fronts.cpp
@@ -18,7 +18,7 @@
     std::string id = "id-" + std::to_string(i);
     CallerResponse answer;
     REQUIRE(waitUntil(seconds(10), [&] {
-      answer = sendCallerRequest(test.Fleet.callers(i), id, "warm");
+      answer = sendCallerRequest(test.Fleet.callerAddress(i), id, "warm");
       return answer.Status == 200;
     }));
     CHECK(answer.IsComplete);
@@ -32,14 +32,15 @@
     for (const HttpField &field : it.Fields)
       CHECK(field.Value.find("secret-key") == std::string::npos);
   }
-  CHECK(sendCallerRequest(test.Fleet.callers(1), "x", "warm", "other").Status ==
-        401);
-  CHECK(sendCallerRequest(test.Fleet.callers(1), "x", "warm", "secret-key",
-                          "/q/x")
+  CHECK(sendCallerRequest(test.Fleet.callerAddress(1), "x", "warm", "other")
+            .Status == 401);
+  CHECK(sendCallerRequest(test.Fleet.callerAddress(1), "x", "warm",
+                          "secret-key", "/q/x")
             .Status == 404);
   size_t orders = test.Engine.countOrders();
-  CHECK(sendCallerRequest(test.Fleet.callers(4), "cold-1", "cold").Status ==
-        200);
+  CHECK(
+      sendCallerRequest(test.Fleet.callerAddress(4), "cold-1", "cold").Status ==
+      200);
   CHECK(test.Engine.countOrders() > orders);
 }
 
@@ -58,7 +59,7 @@
     for (int i = 1; i <= test.Fleet.fronts(); ++i) {
       INFO("front " << i << " version " << version);
       CHECK(waitUntil(seconds(10), [&] {
-        return sendCallerRequest(test.Fleet.callers(i), "x", "warm",
+        return sendCallerRequest(test.Fleet.callerAddress(i), "x", "warm",
                                  "secret-key", prefix + "x")
                    .Status == 200;
       }));
@@ -71,16 +72,16 @@
 TEST_CASE("draining endpoint gets no new work from any front") {
   ServedFleet test;
   REQUIRE(waitUntil(seconds(10), [&] {
-    return sendCallerRequest(test.Fleet.callers(4), "before", "warm").Status ==
-           200;
+    return sendCallerRequest(test.Fleet.callerAddress(4), "before", "warm")
+               .Status == 200;
   }));
   test.stopAnnouncing();
   REQUIRE(test.Engine.announce(test.Fleet.control(2), true));
   std::this_thread::sleep_for(Millis(500));
   size_t seen = test.Engine.receivedRequests().size();
   for (int i = 1; i <= test.Fleet.fronts(); ++i)
-    CHECK(sendCallerRequest(test.Fleet.callers(i), "after", "warm").Status ==
-          503);
+    CHECK(sendCallerRequest(test.Fleet.callerAddress(i), "after", "warm")
+              .Status == 503);
   CHECK(test.Engine.receivedRequests().size() == seen);
 }
 
@@ -88,12 +89,12 @@
   ServedFleet test;
   test.Engine.setEventInterval(Millis(300));
   REQUIRE(waitUntil(seconds(10), [&] {
-    return sendCallerRequest(test.Fleet.callers(4), "first", "warm").Status ==
-           200;
+    return sendCallerRequest(test.Fleet.callerAddress(4), "first", "warm")
+               .Status == 200;
   }));
   CallerResponse answer;
   std::thread caller([&] {
-    answer = sendCallerRequest(test.Fleet.callers(4), "running", "warm");
+    answer = sendCallerRequest(test.Fleet.callerAddress(4), "running", "warm");
   });
   std::this_thread::sleep_for(Millis(600));
   test.Fleet.signal(FrontFleet::frontName(4), SIGTERM);
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -236,8 +236,8 @@
     std::mt19937 random(static_cast<unsigned>(Caller) + 1);
     for (int i = 0; !IsOver; ++i) {
       std::string id = "c" + std::to_string(Caller) + "-" + std::to_string(i);
-      std::string front =
-          Fleet.callers(1 + static_cast<int>(random() % 4) % Fleet.fronts());
+      std::string front = Fleet.callerAddress(
+          1 + static_cast<int>(random() % 4) % Fleet.fronts());
       unsigned kind = random() % 10;
       if (kind == 0)
         Rules.noteForeign(call(front, "/p/x", id, "warm", "wrong-key"));
@@ -394,11 +394,11 @@
       bool isServing = waitUntil(HealLimit, [&] {
         std::string id = name + "-healed-" + std::to_string(n++);
         CallerResponse stream =
-            call(Fleet.callers(i), "/p/x", id, "warm", "secret-key");
+            call(Fleet.callerAddress(i), "/p/x", id, "warm", "secret-key");
         Rules.note(id, stream);
         std::string once = id + "-once";
         CallerResponse desk =
-            call(Fleet.callers(i), "/d/x", once, "", "secret-key");
+            call(Fleet.callerAddress(i), "/d/x", once, "", "secret-key");
         Rules.note(once, desk);
         return stream.Status == 200 && desk.Status == 200;
       });
