--- a/tests/harness/front_fleet.cpp
+++ b/tests/harness/front_fleet.cpp
@@ -67,9 +67,9 @@
        << "\"\nzone = \"a\"\nlisten = \"" << addressOf(Host, 0)
        << "\"\nhttp = \"" << callerAddress(Host)
        << "\"\n[front_role]\nready = \"" << addressOf(Host, 2)
-       << "\"\ncontrol = \"" << control(Host) << "\"\nseeds = [\"" << control(1)
-       << "\", \"" << control(2) << "\", \"" << control(3)
-       << "\"]\nmay_form = " << (IsNew ? "true" : "false")
+       << "\"\ncontrol = \"" << controlAddress(Host) << "\"\nseeds = [\""
+       << controlAddress(1) << "\", \"" << controlAddress(2) << "\", \""
+       << controlAddress(3) << "\"]\nmay_form = " << (IsNew ? "true" : "false")
        << "\ndata_folder = \""
        << (Host <= Size.Disks ? Folder + "/" + name + "-data" : "") << "\"\n";
   spawn(name, toml.str());
@@ -81,7 +81,7 @@
        << "\"\nzone = \"a\"\nlisten = \"" << addressOf(Host, 0)
        << "\"\nhttp = \"" << addressOf(Host, 1)
        << "\"\n[engine_agent_role]\nengine = \"" << Engine << "\"\nseeds = [\""
-       << control(1) << "\"]\n";
+       << controlAddress(1) << "\"]\n";
   spawn(agentName(Host), toml.str());
 }
 
@@ -134,12 +134,13 @@
 } // namespace
 
 unsigned FrontFleet::put(int Host, const std::string &Text) const {
-  return callLeader(control(Host), {"POST", "/Config.Put", {}, Text}).Status;
+  return callLeader(controlAddress(Host), {"POST", "/Config.Put", {}, Text})
+      .Status;
 }
 
 std::string FrontFleet::readTable(int Host) const {
   CallerResponse answer =
-      callLeader(control(Host), {"GET", "/Config.Get", {}, {}});
+      callLeader(controlAddress(Host), {"GET", "/Config.Get", {}, {}});
   return answer.Status == 200 ? answer.Body : std::string();
 }
 
@@ -247,7 +248,7 @@
     throw std::runtime_error("no front took the table");
   Announcer = std::thread([this] {
     for (int i = 0; IsAnnouncing; ++i) {
-      Engine.announce(Fleet.control(1 + i % Fleet.fronts()));
+      Engine.announce(Fleet.controlAddress(1 + i % Fleet.fronts()));
       std::this_thread::sleep_for(Millis(300));
     }
   });
--- a/tests/harness/front_fleet.h
+++ b/tests/harness/front_fleet.h
@@ -33,7 +33,7 @@
   /// on all hosts: 0 inner, 1 callers, 2 readiness, 3 operators, 7 an engine.
   std::string addressOf(int Host, int Port) const;
   std::string callerAddress(int Host) const { return addressOf(Host, 1); }
-  std::string control(int Host) const { return addressOf(Host, 3); }
+  std::string controlAddress(int Host) const { return addressOf(Host, 3); }
   int fronts() const { return Size.Fronts; }
   int disks() const { return Size.Disks; }
 
--- a/tests/process/test_fronts.cpp
+++ b/tests/process/test_fronts.cpp
@@ -76,7 +76,7 @@
                .Status == 200;
   }));
   test.stopAnnouncing();
-  REQUIRE(test.Engine.announce(test.Fleet.control(2), true));
+  REQUIRE(test.Engine.announce(test.Fleet.controlAddress(2), true));
   std::this_thread::sleep_for(Millis(500));
   size_t seen = test.Engine.receivedRequests().size();
   for (int i = 1; i <= test.Fleet.fronts(); ++i)
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -218,7 +218,8 @@
     for (int i = 0; !IsOver; ++i) {
       for (const auto &it : Endpoints)
         for (int n = 0; n < 2; ++n)
-          if (it->Engine.announce(Fleet.control(1 + (i + n) % Fleet.fronts())))
+          if (it->Engine.announce(
+                  Fleet.controlAddress(1 + (i + n) % Fleet.fronts())))
             break;
       std::this_thread::sleep_for(Millis(200));
     }
