--- a/tests/harness/demo.cpp
+++ b/tests/harness/demo.cpp
@@ -84,7 +84,7 @@
   std::string body = "{\"model\":\"" + Model + "\",\"prompt\":\"" + Prompt +
                      "\",\"max_tokens\":" + std::to_string(Tokens) +
                      ",\"stream\":" + (IsStream ? "true" : "false") + "}";
-  return callHttp(Fleet.entry(Entry),
+  return callHttp(Fleet.entryAddress(Entry),
                   {"POST",
                    "/v1/completions",
                    {{"authorization", "Bearer " + UsedKey}},
@@ -93,7 +93,7 @@
 }
 
 CallerResponse Demo::charge(int Entry, const std::string &Body) {
-  return callHttp(Fleet.entry(Entry),
+  return callHttp(Fleet.entryAddress(Entry),
                   {"POST", Names.ServicePath, {{"x-api-key", Key}}, Body});
 }
 
--- a/tests/harness/process_fleet.h
+++ b/tests/harness/process_fleet.h
@@ -82,7 +82,9 @@
   }
   std::vector<std::string> running();
 
-  std::string entry(int Number) const { return Http.at(entryName(Number)); }
+  std::string entryAddress(int Number) const {
+    return Http.at(entryName(Number));
+  }
   std::string httpOf(const std::string &Process) const;
   std::string sampleTable() const;
   std::string folder() const { return Folder; }
--- a/tests/harness/slopes.cpp
+++ b/tests/harness/slopes.cpp
@@ -121,7 +121,8 @@
   HttpRequest request{"GET", "/crew/x", {{"x-api-key", Key}}, {}};
   std::string direct = Fleet.httpOf("service-1-endpoint");
   for (int callers : {1, 4, 8}) {
-    double ours = measureRate(Fleet.entry(1), request, callers, seconds(3));
+    double ours =
+        measureRate(Fleet.entryAddress(1), request, callers, seconds(3));
     double bare = measureRate(direct, request, callers, seconds(3));
     std::printf("path callers %d through_s %.0f direct_s %.0f ratio %.2f "
                 "added_ms %.2f\n",
@@ -135,7 +136,7 @@
                      {{"x-api-key", Key}},
                      "{\"model\":\"m1\",\"prompt\":\"p\",\"max_tokens\":1000,"
                      "\"stream\":true}"};
-  double streams = measureRate(Fleet.entry(1), stream, 12, seconds(8));
+  double streams = measureRate(Fleet.entryAddress(1), stream, 12, seconds(8));
   Usage entry = usageOf(Fleet, "entry-1");
   Usage agent = usageOf(Fleet, "engine-1");
   double tokens = streams * 1000;
@@ -150,7 +151,7 @@
 void measureIdleConnections(ProcessFleet &Fleet) {
   namespace asio = boost::asio;
   asio::io_context io;
-  auto address = parseAddress(Fleet.entry(2));
+  auto address = parseAddress(Fleet.entryAddress(2));
   std::vector<asio::ip::tcp::socket> sockets;
   for (int count : {0, 300, 1000}) {
     while (static_cast<int>(sockets.size()) < count) {
--- a/tests/process/test_processes.cpp
+++ b/tests/process/test_processes.cpp
@@ -57,7 +57,7 @@
 
   CallerResponse complete(int Entry, const std::string &Prompt, int Tokens = 5,
                           bool IsStream = true, const char *Model = "m1") {
-    return callHttp(Fleet.entry(Entry),
+    return callHttp(Fleet.entryAddress(Entry),
                     {"POST",
                      "/v1/completions",
                      {{"authorization", "Bearer " + Key}},
@@ -69,7 +69,7 @@
 
   CallerResponse charge(int Entry, const std::string &Body) {
     return callHttp(
-        Fleet.entry(Entry),
+        Fleet.entryAddress(Entry),
         {"POST", "/crew/charge", {{"authorization", "Bearer " + Key}}, Body});
   }
 
@@ -191,7 +191,7 @@
   CHECK(waitUntil(seconds(10),
                   [&] { return test.complete(1, "x").Status == 503; }));
   CallerResponse open =
-      callHttp(test.Fleet.entry(1), {"GET", "/open/page", {}, {}});
+      callHttp(test.Fleet.entryAddress(1), {"GET", "/open/page", {}, {}});
   CHECK(open.Status != 401);
   for (int i = 1; i <= 3; ++i)
     test.Fleet.signal(ProcessFleet::controlName(i), SIGCONT);
@@ -371,7 +371,7 @@
   };
   for (const Place &it : cases) {
     INFO(it.What);
-    CHECK(callHttp(test.Fleet.entry(1), it.Request).Status == it.Status);
+    CHECK(callHttp(test.Fleet.entryAddress(1), it.Request).Status == it.Status);
   }
   CallerResponse state = callHttp(test.Fleet.httpOf("service-1-endpoint"),
                                   {"GET", "/admin/state", {}, {}});
@@ -379,7 +379,7 @@
   for (const std::string &it : test.Fleet.running())
     CHECK(test.Fleet.log(it).find(key) == std::string::npos);
   CallerResponse metrics =
-      callHttp(test.Fleet.entry(1), {"GET", "/metrics", {}, {}});
+      callHttp(test.Fleet.entryAddress(1), {"GET", "/metrics", {}, {}});
   CHECK(metrics.Body.find("sk-") == std::string::npos);
 }
 
