--- a/tests/harness/demo.cpp
+++ b/tests/harness/demo.cpp
@@ -211,7 +211,7 @@
     if (it.find("-endpoint") == std::string::npos)
       continue;
     CallerResponse state =
-        callHttp(Fleet.httpOf(it), {"GET", "/admin/state", {}, {}});
+        callHttp(Fleet.httpAddressOf(it), {"GET", "/admin/state", {}, {}});
     bool isClean =
         state.Body.find("\"overcommits\":0,\"keys_seen\":0,\"strays\":0") !=
         std::string::npos;
--- a/tests/harness/process_fleet.cpp
+++ b/tests/harness/process_fleet.cpp
@@ -218,7 +218,7 @@
   return Folder + "/" + Process + ".toml";
 }
 
-std::string ProcessFleet::httpOf(const std::string &Process) const {
+std::string ProcessFleet::httpAddressOf(const std::string &Process) const {
   return Http.at(Process);
 }
 
@@ -396,8 +396,9 @@
 
 double ProcessFleet::metric(const std::string &Process,
                             const std::string &Name) {
-  CallerResponse answer = callHttp(httpOf(Process), {"GET", "/metrics", {}, {}},
-                                   std::chrono::seconds(2));
+  CallerResponse answer =
+      callHttp(httpAddressOf(Process), {"GET", "/metrics", {}, {}},
+               std::chrono::seconds(2));
   std::istringstream in(answer.Body);
   std::string line;
   while (std::getline(in, line))
--- a/tests/harness/process_fleet.h
+++ b/tests/harness/process_fleet.h
@@ -85,7 +85,7 @@
   std::string entryAddress(int Number) const {
     return Http.at(entryName(Number));
   }
-  std::string httpOf(const std::string &Process) const;
+  std::string httpAddressOf(const std::string &Process) const;
   std::string sampleTable() const;
   std::string folder() const { return Folder; }
   std::string settingsOf(const std::string &Process) const;
--- a/tests/harness/slopes.cpp
+++ b/tests/harness/slopes.cpp
@@ -119,7 +119,7 @@
 
 void measurePath(ProcessFleet &Fleet, const std::string &Key) {
   HttpRequest request{"GET", "/crew/x", {{"x-api-key", Key}}, {}};
-  std::string direct = Fleet.httpOf("service-1-endpoint");
+  std::string direct = Fleet.httpAddressOf("service-1-endpoint");
   for (int callers : {1, 4, 8}) {
     double ours =
         measureRate(Fleet.entryAddress(1), request, callers, seconds(3));
--- a/tests/process/test_processes.cpp
+++ b/tests/process/test_processes.cpp
@@ -75,7 +75,7 @@
 
   /// Runs of a body at the service, by its own count.
   int runsOf(const std::string &Body) {
-    CallerResponse state = callHttp(Fleet.httpOf("service-1-endpoint"),
+    CallerResponse state = callHttp(Fleet.httpAddressOf("service-1-endpoint"),
                                     {"GET", "/admin/state", {}, {}});
     // No answer is not the same as no run.
     REQUIRE(state.Status == 200);
@@ -373,8 +373,9 @@
     INFO(it.What);
     CHECK(callHttp(test.Fleet.entryAddress(1), it.Request).Status == it.Status);
   }
-  CallerResponse state = callHttp(test.Fleet.httpOf("service-1-endpoint"),
-                                  {"GET", "/admin/state", {}, {}});
+  CallerResponse state =
+      callHttp(test.Fleet.httpAddressOf("service-1-endpoint"),
+               {"GET", "/admin/state", {}, {}});
   CHECK(state.Body.find("\"keys_seen\":0") != std::string::npos);
   for (const std::string &it : test.Fleet.running())
     CHECK(test.Fleet.log(it).find(key) == std::string::npos);
