--- a/tests/ctl/test_tool.cpp
+++ b/tests/ctl/test_tool.cpp
@@ -54,7 +54,7 @@
       {"no difference", {"table", "diff", good}, 0, ""},
       {"explain", {"explain", "plaque-draft"}, 0, "at most 2 replicas"},
       {"explain nothing", {"explain", "nothing"}, 1, "no row"},
-      {"check", {"check", fleet.settingsOf("entry-1")}, 0, "good"},
+      {"check", {"check", fleet.settingsPathOf("entry-1")}, 0, "good"},
       {"version", {"--version"}, 0, "sassafrasctl"},
   };
   for (const Call &it : cases) {
--- a/tests/harness/front_fleet.cpp
+++ b/tests/harness/front_fleet.cpp
@@ -162,7 +162,7 @@
   return readFile(logFile(Process));
 }
 
-std::string FrontFleet::settingsOf(const std::string &Process) const {
+std::string FrontFleet::settingsPathOf(const std::string &Process) const {
   return Folder + "/" + Process + ".toml";
 }
 
@@ -170,8 +170,8 @@
   static std::atomic<int> serial{0};
   std::string base = Folder + "/ctl-" + std::to_string(serial++);
   std::string command = std::string(TOOL_PROGRAM) + " --settings " +
-                        settingsOf(frontName(1)) + " " + Words + " >" + base +
-                        ".out 2>" + base + ".err";
+                        settingsPathOf(frontName(1)) + " " + Words + " >" +
+                        base + ".out 2>" + base + ".err";
   int state = std::system(command.c_str());
   return {WEXITSTATUS(state), readFile(base + ".out"), readFile(base + ".err")};
 }
@@ -184,7 +184,7 @@
 }
 
 void FrontFleet::spawn(const std::string &Process, const std::string &Toml) {
-  std::string path = settingsOf(Process);
+  std::string path = settingsPathOf(Process);
   std::ofstream(path) << Toml;
   std::string output = logFile(Process);
   size_t before = log(Process).size();
--- a/tests/harness/front_fleet.h
+++ b/tests/harness/front_fleet.h
@@ -58,7 +58,7 @@
   bool isRunning(const std::string &Process) const;
   std::string log(const std::string &Process) const;
   std::string logFile(const std::string &Process) const;
-  std::string settingsOf(const std::string &Process) const;
+  std::string settingsPathOf(const std::string &Process) const;
   /// Runs the operators' tool with the settings of front 1.
   ToolResult ctl(const std::string &Words) const;
   std::vector<std::string> processes() const;
--- a/tests/harness/process_fleet.cpp
+++ b/tests/harness/process_fleet.cpp
@@ -180,7 +180,7 @@
 
 void ProcessFleet::startDaemon(const std::string &Process) {
   size_t before = log(Process).size();
-  spawn(Process, {DAEMON_PROGRAM, "--settings", settingsOf(Process)});
+  spawn(Process, {DAEMON_PROGRAM, "--settings", settingsPathOf(Process)});
   std::string said;
   bool isHeard = waitUntil(StartLimit, [&] {
     bool isUp = isRunning(Process);
@@ -209,12 +209,12 @@
   setKey(toml, "http", quote(Http[Node]));
   setKey(toml, "control", control + "]");
   setKey(toml, "data_folder", quote(Folder + "/" + Node + "-data"));
-  std::string path = settingsOf(Node);
+  std::string path = settingsPathOf(Node);
   std::ofstream(path) << toml;
   return path;
 }
 
-std::string ProcessFleet::settingsOf(const std::string &Process) const {
+std::string ProcessFleet::settingsPathOf(const std::string &Process) const {
   return Folder + "/" + Process + ".toml";
 }
 
@@ -362,8 +362,8 @@
 ToolResult ProcessFleet::ctl(const std::vector<std::string> &Words) {
   static int serial = 0;
   std::string base = Folder + "/ctl-" + std::to_string(serial++);
-  std::string command =
-      std::string(TOOL_PROGRAM) + " --settings " + settingsOf(controlName(1));
+  std::string command = std::string(TOOL_PROGRAM) + " --settings " +
+                        settingsPathOf(controlName(1));
   for (const std::string &it : Words)
     command += " " + it;
   command += " >" + base + ".out 2>" + base + ".err";
--- a/tests/harness/process_fleet.h
+++ b/tests/harness/process_fleet.h
@@ -88,7 +88,7 @@
   std::string httpAddressOf(const std::string &Process) const;
   std::string sampleTable() const;
   std::string folder() const { return Folder; }
-  std::string settingsOf(const std::string &Process) const;
+  std::string settingsPathOf(const std::string &Process) const;
   ToolResult ctl(const std::vector<std::string> &Words);
   /// Name of the leading control process, or empty.
   std::string leader();
