--- a/tests/harness/process_fleet.cpp
+++ b/tests/harness/process_fleet.cpp
@@ -307,12 +307,12 @@
   files::remove_all(Folder + "/" + controlName(Number) + "-data");
 }
 
-void ProcessFleet::hideDisk(int Number) {
+void ProcessFleet::detachDisk(int Number) {
   std::string data = Folder + "/" + controlName(Number) + "-data";
   files::rename(data, data + "-hidden");
 }
 
-void ProcessFleet::returnDisk(int Number) {
+void ProcessFleet::reattachDisk(int Number) {
   std::string data = Folder + "/" + controlName(Number) + "-data";
   files::remove_all(data);
   files::rename(data + "-hidden", data);
--- a/tests/harness/process_fleet.h
+++ b/tests/harness/process_fleet.h
@@ -69,8 +69,8 @@
   /// Removes a control member's data folder.
   void loseDisk(int Number);
   /// Takes the folder away, to be put back later.
-  void hideDisk(int Number);
-  void returnDisk(int Number);
+  void detachDisk(int Number);
+  void reattachDisk(int Number);
 
   void signal(const std::string &Process, int Signal);
   /// Exit code of a process, or -1 when it still runs after \p Limit.
--- a/tests/process/test_processes.cpp
+++ b/tests/process/test_processes.cpp
@@ -240,7 +240,7 @@
   for (int number : {1, 2})
     test.Fleet.kill(ProcessFleet::controlName(number));
   test.Fleet.loseDisk(1);
-  test.Fleet.hideDisk(2);
+  test.Fleet.detachDisk(2);
   test.Fleet.startControl(1);
   // One that led acts until its lease ends.
   ToolResult status;
@@ -260,7 +260,7 @@
   CHECK((namesBoth || namesOne));
   CHECK(status.Errors.find("control-1 has no leader and waits for a leader to "
                            "take it in") != std::string::npos);
-  test.Fleet.returnDisk(2);
+  test.Fleet.reattachDisk(2);
   test.Fleet.startControl(2);
   REQUIRE(waitUntil(seconds(30), [&] {
     return test.charge(2, "{\"charge\":7}").Status == 200;
