--- a/tests/harness/front_fleet.cpp
+++ b/tests/harness/front_fleet.cpp
@@ -133,7 +133,7 @@
 
 } // namespace
 
-unsigned FrontFleet::put(int Host, const std::string &Text) const {
+unsigned FrontFleet::putTable(int Host, const std::string &Text) const {
   return callLeader(controlAddress(Host), {"POST", "/Config.Put", {}, Text})
       .Status;
 }
@@ -243,7 +243,7 @@
              {"cold"}) {
   Fleet.startAgent(EngineHost, Fleet.addressOf(EngineHost, 7));
   bool isPut =
-      waitUntil(seconds(15), [&] { return Fleet.put(1, Table) == 200; });
+      waitUntil(seconds(15), [&] { return Fleet.putTable(1, Table) == 200; });
   if (!isPut)
     throw std::runtime_error("no front took the table");
   Announcer = std::thread([this] {
--- a/tests/harness/front_fleet.h
+++ b/tests/harness/front_fleet.h
@@ -51,7 +51,7 @@
   bool isReady(int Host) const;
   /// Puts a table at a front, or at the one that it names as the leader; the
   /// answer's status.
-  unsigned put(int Host, const std::string &Text) const;
+  unsigned putTable(int Host, const std::string &Text) const;
   /// The table as operators read it, from \p Host or the leader that it
   /// names; empty when there is none to be had.
   std::string readTable(int Host) const;
--- a/tests/process/test_fronts.cpp
+++ b/tests/process/test_fronts.cpp
@@ -51,7 +51,7 @@
     int killed = version - 1;
     std::string prefix = "/v" + std::to_string(version) + "/";
     REQUIRE(waitUntil(seconds(10), [&] {
-      return test.Fleet.put(4, tableText(version, prefix)) == 200;
+      return test.Fleet.putTable(4, tableText(version, prefix)) == 200;
     }));
     test.Fleet.signal(FrontFleet::frontName(killed), SIGKILL);
     test.Fleet.waitForExit(FrontFleet::frontName(killed), seconds(2));
@@ -65,8 +65,8 @@
       }));
     }
   }
-  CHECK(test.Fleet.put(1, "{\"version\":9}") == 400);
-  CHECK(test.Fleet.put(4, "nonsense") == 400);
+  CHECK(test.Fleet.putTable(1, "{\"version\":9}") == 400);
+  CHECK(test.Fleet.putTable(4, "nonsense") == 400);
 }
 
 TEST_CASE("draining endpoint gets no new work from any front") {
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -188,8 +188,8 @@
   }
 
   SoakReport run(seconds Length) {
-    bool isUp =
-        waitUntil(HealLimit, [&] { return Fleet.put(1, soakTable(1)) == 200; });
+    bool isUp = waitUntil(
+        HealLimit, [&] { return Fleet.putTable(1, soakTable(1)) == 200; });
     Rules.check(isUp, "the fleet did not take its first table");
     std::vector<std::thread> threads;
     threads.emplace_back([this] { announce(); });
@@ -227,7 +227,8 @@
 
   void operate() {
     for (int version = 2; !IsOver; ++version) {
-      if (Fleet.put(1 + version % Fleet.fronts(), soakTable(version)) == 200)
+      if (Fleet.putTable(1 + version % Fleet.fronts(), soakTable(version)) ==
+          200)
         Rules.noteTable(version);
       std::this_thread::sleep_for(Millis(300));
     }
