--- a/tests/harness/front_fleet.cpp
+++ b/tests/harness/front_fleet.cpp
@@ -248,11 +248,11 @@
     throw std::runtime_error("no front took the table");
   Announcer = std::thread([this] {
     for (int i = 0; IsAnnouncing; ++i) {
-      Engine.announce(Fleet.controlAddress(1 + i % Fleet.fronts()));
+      Engine.announce(Fleet.controlAddress(1 + i % Fleet.frontCount()));
       std::this_thread::sleep_for(Millis(300));
     }
   });
-  for (int i = 1; i <= Fleet.fronts(); ++i)
+  for (int i = 1; i <= Fleet.frontCount(); ++i)
     if (!waitUntil(seconds(10), [&] { return Fleet.isReady(i); }))
       throw std::runtime_error(FrontFleet::frontName(i) + " is not ready");
 }
--- a/tests/harness/front_fleet.h
+++ b/tests/harness/front_fleet.h
@@ -34,8 +34,8 @@
   std::string addressOf(int Host, int Port) const;
   std::string callerAddress(int Host) const { return addressOf(Host, 1); }
   std::string controlAddress(int Host) const { return addressOf(Host, 3); }
-  int fronts() const { return Size.Fronts; }
-  int disks() const { return Size.Disks; }
+  int frontCount() const { return Size.Fronts; }
+  int diskCount() const { return Size.Disks; }
 
   /// \p IsNew: the fleet starts for the first time.
   void start(int Host, bool IsNew);
--- a/tests/process/test_fronts.cpp
+++ b/tests/process/test_fronts.cpp
@@ -13,7 +13,7 @@
 
 TEST_CASE("fronts serve streams, keep keys and load cold models") {
   ServedFleet test;
-  for (int i = 1; i <= test.Fleet.fronts(); ++i) {
+  for (int i = 1; i <= test.Fleet.frontCount(); ++i) {
     INFO("front " << i);
     std::string id = "id-" + std::to_string(i);
     CallerResponse answer;
@@ -56,7 +56,7 @@
     test.Fleet.signal(FrontFleet::frontName(killed), SIGKILL);
     test.Fleet.waitForExit(FrontFleet::frontName(killed), seconds(2));
     test.Fleet.start(killed, false);
-    for (int i = 1; i <= test.Fleet.fronts(); ++i) {
+    for (int i = 1; i <= test.Fleet.frontCount(); ++i) {
       INFO("front " << i << " version " << version);
       CHECK(waitUntil(seconds(10), [&] {
         return sendCallerRequest(test.Fleet.callerAddress(i), "x", "warm",
@@ -79,7 +79,7 @@
   REQUIRE(test.Engine.announce(test.Fleet.controlAddress(2), true));
   std::this_thread::sleep_for(Millis(500));
   size_t seen = test.Engine.receivedRequests().size();
-  for (int i = 1; i <= test.Fleet.fronts(); ++i)
+  for (int i = 1; i <= test.Fleet.frontCount(); ++i)
     CHECK(sendCallerRequest(test.Fleet.callerAddress(i), "after", "warm")
               .Status == 503);
   CHECK(test.Engine.receivedRequests().size() == seen);
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -219,7 +219,7 @@
       for (const auto &it : Endpoints)
         for (int n = 0; n < 2; ++n)
           if (it->Engine.announce(
-                  Fleet.controlAddress(1 + (i + n) % Fleet.fronts())))
+                  Fleet.controlAddress(1 + (i + n) % Fleet.frontCount())))
             break;
       std::this_thread::sleep_for(Millis(200));
     }
@@ -227,8 +227,8 @@
 
   void operate() {
     for (int version = 2; !IsOver; ++version) {
-      if (Fleet.putTable(1 + version % Fleet.fronts(), soakTable(version)) ==
-          200)
+      if (Fleet.putTable(1 + version % Fleet.frontCount(),
+                         soakTable(version)) == 200)
         Rules.noteTable(version);
       std::this_thread::sleep_for(Millis(300));
     }
@@ -239,7 +239,7 @@
     for (int i = 0; !IsOver; ++i) {
       std::string id = "c" + std::to_string(Caller) + "-" + std::to_string(i);
       std::string front = Fleet.callerAddress(
-          1 + static_cast<int>(random() % 4) % Fleet.fronts());
+          1 + static_cast<int>(random() % 4) % Fleet.frontCount());
       unsigned kind = random() % 10;
       if (kind == 0)
         Rules.noteForeign(call(front, "/p/x", id, "warm", "wrong-key"));
@@ -297,7 +297,7 @@
       else if (kind == 9)
         harmAll();
       else
-        harmFront(1 + draw(0, Fleet.fronts() - 1), kind);
+        harmFront(1 + draw(0, Fleet.frontCount() - 1), kind);
     }
   }
 
@@ -355,7 +355,7 @@
 
   /// The operators' rule: no disk is given up while the group bears no loss.
   bool mayWipe(int Host) {
-    if (Host > Fleet.disks() || !isPast(NextWipe, Clock::now()))
+    if (Host > Fleet.diskCount() || !isPast(NextWipe, Clock::now()))
       return false;
     return Fleet.ctl("status").Out.find("losses borne now: 1") !=
            std::string::npos;
@@ -372,10 +372,10 @@
   void harmAll() {
     if (!Open.empty())
       return;
-    for (int i = 1; i <= Fleet.fronts(); ++i)
+    for (int i = 1; i <= Fleet.frontCount(); ++i)
       Fleet.kill(FrontFleet::frontName(i));
     begin("kill", AllFronts, Millis(draw(50, 800)), [this] {
-      for (int i = 1; i <= Fleet.fronts(); ++i)
+      for (int i = 1; i <= Fleet.frontCount(); ++i)
         Fleet.start(i, false);
     });
   }
@@ -390,7 +390,7 @@
 
   void heal() {
     endFaults(true);
-    for (int i = 1; i <= Fleet.fronts(); ++i) {
+    for (int i = 1; i <= Fleet.frontCount(); ++i) {
       std::string name = FrontFleet::frontName(i);
       int n = 0;
       bool isServing = waitUntil(HealLimit, [&] {
