--- a/tests/fakes/fake_endpoint.cpp
+++ b/tests/fakes/fake_endpoint.cpp
@@ -1,9 +1,10 @@
 /// \file
-/// Stand-in for a model engine or a plain service, with fault switches.
+/// Fake model engine or plain service with injectable faults.
 ///
-/// Marks in a request's body: CRASH ends the process, STALL never answers,
-/// CUT breaks the answer off, SLOW answers after a second. It keeps count of
-/// what must not happen and tells it at /admin/state.
+/// Markers in a request body select a fault: CRASH ends the process, STALL
+/// never responds, CUT aborts a streamed response after two tokens, SLOW makes
+/// a plain service respond after 1 s. Counts events that must not happen and
+/// reports them at /admin/state.
 #include "core/hash.h"
 #include "core/metrics.h"
 #include "http/client.h"
@@ -33,12 +34,12 @@
   bool IsAdapter = false;
 };
 
-struct Fake {
+struct FakeEndpoint {
   boost::asio::io_context Io;
   Metrics Counts;
   std::string Listen = "127.0.0.1:0";
   std::string Agent;
-  std::string Store; ///< Empty: weights are at hand.
+  std::string Store; ///< When empty, loads do not fetch weights.
   uint64_t MemoryMb = 0;
   Millis TokenTime{5};
   bool IgnoresFences = false;
@@ -51,17 +52,17 @@
   std::map<std::string, Weights> Loading;
   std::set<std::string> Cached;
   int Running = 0;
-  int Overcommits = 0; ///< Loads beyond the memory.
-  int KeysSeen = 0;
-  int Strays = 0; ///< Requests for rows that are not loaded.
+  int Overcommits = 0; ///< Loads that exceeded MemoryMb.
+  int KeysSeen = 0;    ///< API keys found in header fields and targets.
+  int Strays = 0;      ///< Completions for models that are not loaded.
   std::map<std::string, int> RunsByBody;
   std::vector<std::shared_ptr<HttpExchange>> Stalled;
 };
 
 using Exchange = std::shared_ptr<HttpExchange>;
 
-void after(Fake &Fake, Millis Wait, std::function<void()> Action) {
-  auto timer = std::make_shared<boost::asio::steady_timer>(Fake.Io, Wait);
+void after(FakeEndpoint &Endpoint, Millis Delay, std::function<void()> Action) {
+  auto timer = std::make_shared<boost::asio::steady_timer>(Endpoint.Io, Delay);
   timer->async_wait([timer, action = std::move(Action)](auto) { action(); });
 }
 
@@ -74,263 +75,274 @@
   return names;
 }
 
-HttpCalls ignoreAnswer() {
+HttpCalls ignoreResponse() {
   return {[](const HttpHead &) {}, [](std::string_view) {}, [] {},
           [](HttpBreak) {}};
 }
 
-void announce(Fake &Fake) {
-  json::object object{{"address", Fake.Address},
-                      {"incarnation", Fake.Incarnation},
-                      {"memory_mb", Fake.MemoryMb},
-                      {"running", Fake.Running},
-                      {"leaving", Fake.IsLeaving}};
-  object["loaded"] = namesOf(Fake.Loaded, false);
-  object["loading"] = namesOf(Fake.Loading, false);
-  object["adapters"] = namesOf(Fake.Loaded, true);
+void announce(FakeEndpoint &Endpoint) {
+  json::object object{{"address", Endpoint.Address},
+                      {"incarnation", Endpoint.Incarnation},
+                      {"memory_mb", Endpoint.MemoryMb},
+                      {"running", Endpoint.Running},
+                      {"leaving", Endpoint.IsLeaving}};
+  object["loaded"] = namesOf(Endpoint.Loaded, false);
+  object["loading"] = namesOf(Endpoint.Loading, false);
+  object["adapters"] = namesOf(Endpoint.Loaded, true);
   json::array cached;
-  for (const std::string &it : Fake.Cached)
+  for (const std::string &it : Endpoint.Cached)
     cached.push_back(json::string(it));
   object["cached"] = std::move(cached);
-  startHttpCall(Fake.Io, Fake.Agent,
+  startHttpCall(Endpoint.Io, Endpoint.Agent,
                 {"POST", "/announce", {}, json::serialize(object)},
-                Millis(1000), ignoreAnswer());
-  after(Fake, AnnouncePeriod, [&Fake] { announce(Fake); });
+                Millis(1000), ignoreResponse());
+  after(Endpoint, AnnouncePeriod, [&Endpoint] { announce(Endpoint); });
 }
 
-uint64_t memoryHeld(const Fake &Fake) {
+uint64_t memoryInUse(const FakeEndpoint &Endpoint) {
   uint64_t sum = 0;
-  for (const auto &[name, weights] : Fake.Loaded)
+  for (const auto &[name, weights] : Endpoint.Loaded)
     sum += weights.MemoryMb;
-  for (const auto &[name, weights] : Fake.Loading)
+  for (const auto &[name, weights] : Endpoint.Loading)
     sum += weights.MemoryMb;
   return sum;
 }
 
-bool isFenced(Fake &Fake, uint64_t Fence) {
-  if (Fake.IgnoresFences)
+bool isFenced(FakeEndpoint &Endpoint, uint64_t Fence) {
+  if (Endpoint.IgnoresFences)
     return false;
-  if (Fence < Fake.NewestFence)
+  if (Fence < Endpoint.NewestFence)
     return true;
-  Fake.NewestFence = Fence;
+  Endpoint.NewestFence = Fence;
   return false;
 }
 
-void finishLoad(Fake &Fake, const std::string &Name, const Exchange &Exchange,
-                bool IsGood) {
-  auto it = Fake.Loading.find(Name);
-  if (it == Fake.Loading.end()) {
+void finishLoad(FakeEndpoint &Endpoint, const std::string &Name,
+                const Exchange &Exchange, bool IsSuccess) {
+  auto it = Endpoint.Loading.find(Name);
+  if (it == Endpoint.Loading.end()) {
     Exchange->respond(409, {}, "{}");
     return;
   }
-  if (IsGood) {
-    Fake.Loaded[Name] = it->second;
-    Fake.Cached.insert(Name);
+  if (IsSuccess) {
+    Endpoint.Loaded[Name] = it->second;
+    Endpoint.Cached.insert(Name);
   }
-  Fake.Loading.erase(it);
-  Exchange->respond(IsGood ? 200 : 500, {}, "{}");
+  Endpoint.Loading.erase(it);
+  Exchange->respond(IsSuccess ? 200 : 500, {}, "{}");
 }
 
-void load(Fake &Fake, const json::object &Order, const Exchange &Exchange) {
+void load(FakeEndpoint &Endpoint, const json::object &Order,
+          const Exchange &Exchange) {
   std::string name(Order.at("name").as_string());
-  if (isFenced(Fake, Order.at("fence").to_number<uint64_t>())) {
-    Exchange->respond(409, {}, "{\"error\":\"old fence\"}");
+  if (isFenced(Endpoint, Order.at("fence").to_number<uint64_t>())) {
+    Exchange->respond(409, {}, "{\"error\":\"stale fencing token\"}");
     return;
   }
-  if (Fake.Loaded.contains(name) || Fake.Loading.contains(name)) {
-    Exchange->respond(Fake.Loaded.contains(name) ? 200 : 409, {}, "{}");
+  if (Endpoint.Loaded.contains(name) || Endpoint.Loading.contains(name)) {
+    Exchange->respond(Endpoint.Loaded.contains(name) ? 200 : 409, {}, "{}");
     return;
   }
-  Fake.Loading[name] = {Order.at("memory_mb").to_number<uint64_t>(),
-                        Order.at("kind").as_string() == "adapter"};
-  if (memoryHeld(Fake) > Fake.MemoryMb)
-    ++Fake.Overcommits;
-  if (Fake.Store.empty() || Fake.Cached.contains(name)) {
-    after(Fake, Millis(20),
-          [&Fake, name, Exchange] { finishLoad(Fake, name, Exchange, true); });
+  Endpoint.Loading[name] = {Order.at("memory_mb").to_number<uint64_t>(),
+                            Order.at("kind").as_string() == "adapter"};
+  if (memoryInUse(Endpoint) > Endpoint.MemoryMb)
+    ++Endpoint.Overcommits;
+  if (Endpoint.Store.empty() || Endpoint.Cached.contains(name)) {
+    after(Endpoint, Millis(20), [&Endpoint, name, Exchange] {
+      finishLoad(Endpoint, name, Exchange, true);
+    });
     return;
   }
-  HttpCalls calls = ignoreAnswer();
-  calls.OnEnd = [&Fake, name, Exchange] {
-    finishLoad(Fake, name, Exchange, true);
+  HttpCalls callbacks = ignoreResponse();
+  callbacks.OnEnd = [&Endpoint, name, Exchange] {
+    finishLoad(Endpoint, name, Exchange, true);
   };
-  calls.OnBreak = [&Fake, name, Exchange](HttpBreak) {
-    finishLoad(Fake, name, Exchange, false);
+  callbacks.OnBreak = [&Endpoint, name, Exchange](HttpBreak) {
+    finishLoad(Endpoint, name, Exchange, false);
   };
-  startHttpCall(Fake.Io, Fake.Store, {"GET", "/weights/" + name, {}, {}},
-                Millis(600'000), std::move(calls));
+  startHttpCall(Endpoint.Io, Endpoint.Store,
+                {"GET", "/weights/" + name, {}, {}}, Millis(600'000),
+                std::move(callbacks));
 }
 
-void unload(Fake &Fake, const json::object &Order, const Exchange &Exchange) {
-  if (isFenced(Fake, Order.at("fence").to_number<uint64_t>())) {
-    Exchange->respond(409, {}, "{\"error\":\"old fence\"}");
+void unload(FakeEndpoint &Endpoint, const json::object &Order,
+            const Exchange &Exchange) {
+  if (isFenced(Endpoint, Order.at("fence").to_number<uint64_t>())) {
+    Exchange->respond(409, {}, "{\"error\":\"stale fencing token\"}");
     return;
   }
   std::string name(Order.at("name").as_string());
-  Fake.Loaded.erase(name);
-  Fake.Loading.erase(name);
+  Endpoint.Loaded.erase(name);
+  Endpoint.Loading.erase(name);
   Exchange->respond(200, {}, "{}");
 }
 
-void tellState(Fake &Fake, const Exchange &Exchange) {
-  json::object object{{"overcommits", Fake.Overcommits},
-                      {"keys_seen", Fake.KeysSeen},
-                      {"strays", Fake.Strays},
-                      {"running", Fake.Running}};
-  object["loaded"] = namesOf(Fake.Loaded, false);
+void sendState(FakeEndpoint &Endpoint, const Exchange &Exchange) {
+  json::object object{{"overcommits", Endpoint.Overcommits},
+                      {"keys_seen", Endpoint.KeysSeen},
+                      {"strays", Endpoint.Strays},
+                      {"running", Endpoint.Running}};
+  object["loaded"] = namesOf(Endpoint.Loaded, false);
   json::object runs;
-  for (const auto &[body, n] : Fake.RunsByBody)
+  for (const auto &[body, n] : Endpoint.RunsByBody)
     runs[body] = n;
   object["runs"] = std::move(runs);
   Exchange->respond(200, {{"content-type", "application/json"}},
                     json::serialize(object) + "\n");
 }
 
-std::string tokenText(const std::string &Mark, int64_t Index) {
-  return "t" + std::to_string(Index) + "-" + Mark + " ";
+std::string tokenText(const std::string &RequestDigest, int64_t Index) {
+  return "t" + std::to_string(Index) + "-" + RequestDigest + " ";
 }
 
-void streamToken(Fake &Fake, const Exchange &Exchange, const std::string &Mark,
-                 int64_t Index, int64_t Count, bool IsCut) {
-  if (IsCut && Index == 2) {
-    --Fake.Running;
+void streamToken(FakeEndpoint &Endpoint, const Exchange &Exchange,
+                 const std::string &RequestDigest, int64_t Index, int64_t Count,
+                 bool IsTruncated) {
+  if (IsTruncated && Index == 2) {
+    --Endpoint.Running;
     Exchange->abort();
     return;
   }
   if (Index == Count) {
-    --Fake.Running;
+    --Endpoint.Running;
     Exchange->write("data: [DONE]\n\n");
     Exchange->finish();
     return;
   }
-  json::object piece{
-      {"choices", {{{"index", 0}, {"text", tokenText(Mark, Index)}}}}};
-  Exchange->write("data: " + json::serialize(piece) + "\n\n");
-  after(Fake, Fake.TokenTime, [&Fake, Exchange, Mark, Index, Count, IsCut] {
-    streamToken(Fake, Exchange, Mark, Index + 1, Count, IsCut);
-  });
+  json::object chunk{
+      {"choices", {{{"index", 0}, {"text", tokenText(RequestDigest, Index)}}}}};
+  Exchange->write("data: " + json::serialize(chunk) + "\n\n");
+  after(Endpoint, Endpoint.TokenTime,
+        [&Endpoint, Exchange, RequestDigest, Index, Count, IsTruncated] {
+          streamToken(Endpoint, Exchange, RequestDigest, Index + 1, Count,
+                      IsTruncated);
+        });
 }
 
-void answerWhole(Fake &Fake, const Exchange &Exchange, const std::string &Mark,
-                 int64_t Count, size_t PromptBytes) {
+void sendCompletion(FakeEndpoint &Endpoint, const Exchange &Exchange,
+                    const std::string &RequestDigest, int64_t Count,
+                    size_t PromptBytes) {
   std::string text;
   for (int64_t i = 0; i < Count; ++i)
-    text += tokenText(Mark, i);
-  json::object answer{{"choices", {{{"index", 0}, {"text", text}}}}};
+    text += tokenText(RequestDigest, i);
+  json::object response{{"choices", {{{"index", 0}, {"text", text}}}}};
   int64_t prompt = static_cast<int64_t>(PromptBytes / 4 + 1);
-  answer["usage"] = {{"completion_tokens", Count},
-                     {"total_tokens", prompt + Count}};
-  after(Fake, Fake.TokenTime * Count, [&Fake, Exchange, answer] {
-    --Fake.Running;
+  response["usage"] = {{"completion_tokens", Count},
+                       {"total_tokens", prompt + Count}};
+  after(Endpoint, Endpoint.TokenTime * Count, [&Endpoint, Exchange, response] {
+    --Endpoint.Running;
     Exchange->respond(200, {{"content-type", "application/json"}},
-                      json::serialize(answer) + "\n");
+                      json::serialize(response) + "\n");
   });
 }
 
-void complete(Fake &Fake, const HttpRequest &Request,
-              const Exchange &Exchange) {
+void handleCompletion(FakeEndpoint &Endpoint, const HttpRequest &Request,
+                      const Exchange &Exchange) {
   json::object body = json::parse(Request.Body).as_object();
   std::string model(body.at("model").as_string());
-  if (!Fake.Loaded.contains(model)) {
-    ++Fake.Strays;
+  if (!Endpoint.Loaded.contains(model)) {
+    ++Endpoint.Strays;
     Exchange->respond(404, {}, "{\"error\":\"not loaded\"}");
     return;
   }
-  bool isCut = Request.Body.find("CUT") != std::string::npos;
+  bool isTruncated = Request.Body.find("CUT") != std::string::npos;
   int64_t count = 8;
-  if (const json::value *most = body.if_contains("max_tokens"))
-    count = std::min<int64_t>(most->to_number<int64_t>(), 2000);
+  if (const json::value *maxTokens = body.if_contains("max_tokens"))
+    count = std::min<int64_t>(maxTokens->to_number<int64_t>(), 2000);
   const json::value *stream = body.if_contains("stream");
-  std::string mark = digestOf({Request.Body}).substr(0, 8);
-  ++Fake.Running;
+  std::string requestDigest = digestOf({Request.Body}).substr(0, 8);
+  ++Endpoint.Running;
   if (stream && stream->is_bool() && stream->as_bool()) {
     Exchange->start(200, {{"content-type", "text/event-stream"}});
-    streamToken(Fake, Exchange, mark, 0, count, isCut);
+    streamToken(Endpoint, Exchange, requestDigest, 0, count, isTruncated);
     return;
   }
-  answerWhole(Fake, Exchange, mark, count, Request.Body.size());
+  sendCompletion(Endpoint, Exchange, requestDigest, count, Request.Body.size());
 }
 
-void serveCaller(Fake &Fake, const HttpRequest &Request,
-                 const Exchange &Exchange) {
+void handleCallerRequest(FakeEndpoint &Endpoint, const HttpRequest &Request,
+                         const Exchange &Exchange) {
   for (const HttpField &it : Request.Fields)
-    Fake.KeysSeen += it.Value.find("sk-") != std::string::npos;
-  Fake.KeysSeen += Request.Target.find("sk-") != std::string::npos;
-  ++Fake.RunsByBody[Request.Body];
+    Endpoint.KeysSeen += it.Value.find("sk-") != std::string::npos;
+  Endpoint.KeysSeen += Request.Target.find("sk-") != std::string::npos;
+  ++Endpoint.RunsByBody[Request.Body];
   if (Request.Body.find("CRASH") != std::string::npos)
     _exit(1);
   if (Request.Body.find("STALL") != std::string::npos) {
-    Fake.Stalled.push_back(Exchange);
+    Endpoint.Stalled.push_back(Exchange);
     return;
   }
-  if (!Fake.IsService) {
-    complete(Fake, Request, Exchange);
+  if (!Endpoint.IsService) {
+    handleCompletion(Endpoint, Request, Exchange);
     return;
   }
   bool isSlow = Request.Body.find("SLOW") != std::string::npos;
-  ++Fake.Running;
-  after(Fake, Millis(isSlow ? 1000 : 2), [&Fake, Request, Exchange] {
-    --Fake.Running;
-    int n = Fake.RunsByBody[Request.Body];
+  ++Endpoint.Running;
+  after(Endpoint, Millis(isSlow ? 1000 : 2), [&Endpoint, Request, Exchange] {
+    --Endpoint.Running;
+    int n = Endpoint.RunsByBody[Request.Body];
     Exchange->respond(200, {{"content-type", "application/json"}},
                       "{\"done\":true,\"path\":\"" + Request.Target +
                           "\",\"runs\":" + std::to_string(n) + "}\n");
   });
 }
 
-void serve(Fake &Fake, const HttpRequest &Request, const Exchange &Exchange) {
+void handleRequest(FakeEndpoint &Endpoint, const HttpRequest &Request,
+                   const Exchange &Exchange) {
   if (Request.Target == "/healthz")
     Exchange->respond(200, {}, "ok\n");
   else if (Request.Target == "/admin/state")
-    tellState(Fake, Exchange);
+    sendState(Endpoint, Exchange);
   else if (Request.Target == "/admin/load")
-    load(Fake, json::parse(Request.Body).as_object(), Exchange);
+    load(Endpoint, json::parse(Request.Body).as_object(), Exchange);
   else if (Request.Target == "/admin/unload")
-    unload(Fake, json::parse(Request.Body).as_object(), Exchange);
+    unload(Endpoint, json::parse(Request.Body).as_object(), Exchange);
   else
-    serveCaller(Fake, Request, Exchange);
+    handleCallerRequest(Endpoint, Request, Exchange);
 }
 
-void readOptions(Fake &Fake, int Count, char **Words) {
+void parseOptions(FakeEndpoint &Endpoint, int Count, char **Arguments) {
   int code = 0;
-  while ((code = getopt(Count, Words, "l:a:s:m:t:ip")) != -1) {
+  while ((code = getopt(Count, Arguments, "l:a:s:m:t:ip")) != -1) {
     if (code == 'l')
-      Fake.Listen = optarg;
+      Endpoint.Listen = optarg;
     if (code == 'a')
-      Fake.Agent = optarg;
+      Endpoint.Agent = optarg;
     if (code == 's')
-      Fake.Store = optarg;
+      Endpoint.Store = optarg;
     if (code == 'm')
-      Fake.MemoryMb = std::strtoull(optarg, nullptr, 10);
+      Endpoint.MemoryMb = std::strtoull(optarg, nullptr, 10);
     if (code == 't')
-      Fake.TokenTime = Millis(std::atoi(optarg));
-    Fake.IgnoresFences |= code == 'i';
-    Fake.IsService |= code == 'p';
+      Endpoint.TokenTime = Millis(std::atoi(optarg));
+    Endpoint.IgnoresFences |= code == 'i';
+    Endpoint.IsService |= code == 'p';
   }
 }
 
 } // namespace
 
-int main(int Count, char **Words) {
-  Fake fake;
-  readOptions(fake, Count, Words);
+int main(int Count, char **Arguments) {
+  FakeEndpoint endpoint;
+  parseOptions(endpoint, Count, Arguments);
   std::signal(SIGPIPE, SIG_IGN);
-  HttpServer::Handlers calls;
-  calls.OnRequest = [&](const HttpRequest &Request, const Exchange &Exchange) {
-    serve(fake, Request, Exchange);
+  HttpServer::Handlers handlers;
+  handlers.OnRequest = [&](const HttpRequest &Request,
+                           const Exchange &Exchange) {
+    handleRequest(endpoint, Request, Exchange);
   };
-  calls.OnLoss = [](const HttpExchange *, HttpLoss) {};
-  HttpServer server(fake.Io, fake.Listen, {}, fake.Counts, calls);
-  std::string problem;
-  if (!server.start(problem)) {
-    std::fprintf(stderr, "fake_endpoint: %s\n", problem.c_str());
+  handlers.OnLoss = [](const HttpExchange *, HttpLoss) {};
+  HttpServer server(endpoint.Io, endpoint.Listen, {}, endpoint.Counts,
+                    handlers);
+  std::string error;
+  if (!server.start(error)) {
+    std::fprintf(stderr, "fake_endpoint: %s\n", error.c_str());
     return 1;
   }
-  fake.Address = server.address();
+  endpoint.Address = server.address();
   std::printf("listening %s\n", server.address().c_str());
   std::fflush(stdout);
-  boost::asio::signal_set signals(fake.Io, SIGTERM);
-  signals.async_wait([&](auto, int) { fake.Io.stop(); });
-  announce(fake);
-  fake.Io.run();
+  boost::asio::signal_set signals(endpoint.Io, SIGTERM);
+  signals.async_wait([&](auto, int) { endpoint.Io.stop(); });
+  announce(endpoint);
+  endpoint.Io.run();
 }
--- a/tests/fakes/fake_platform_engine.cpp
+++ b/tests/fakes/fake_platform_engine.cpp
@@ -11,7 +11,7 @@
 namespace json = boost::json;
 
 constexpr int EventCount = 10;
-constexpr uint64_t Born = 1'700'000'000'000;
+constexpr uint64_t BornMs = 1'700'000'000'000;
 
 json::array namesOf(const std::set<std::string> &Names) {
   json::array out;
@@ -37,34 +37,35 @@
     : Id(std::move(Id)), Service(std::move(Service)),
       Address(std::move(Address)), Models(std::move(Models)),
       OnDisk(std::move(OnDisk)) {
-  HttpServer::Handlers calls;
-  calls.OnRequest = [this](const HttpRequest &Request,
-                           const std::shared_ptr<HttpExchange> &Exchange) {
-    take(Request, Exchange);
+  HttpServer::Handlers handlers;
+  handlers.OnRequest = [this](const HttpRequest &Request,
+                              const std::shared_ptr<HttpExchange> &Exchange) {
+    handleRequest(Request, Exchange);
   };
-  calls.OnLoss = [](const HttpExchange *, HttpLoss) {};
+  handlers.OnLoss = [](const HttpExchange *, HttpLoss) {};
   Server = std::make_unique<HttpServer>(Io, this->Address, HttpLimits(), Counts,
-                                        std::move(calls));
-  std::string problem;
-  Server->start(problem);
-  Runner = std::thread([this] { Io.run(); });
+                                        std::move(handlers));
+  std::string error;
+  Server->start(error);
+  IoThread = std::thread([this] { Io.run(); });
 }
 
 FakePlatformEngine::~FakePlatformEngine() {
   Io.stop();
-  if (Runner.joinable())
-    Runner.join();
+  if (IoThread.joinable())
+    IoThread.join();
 }
 
 bool FakePlatformEngine::announce(const std::string &Control, bool IsDraining) {
-  json::object body{{"service", Service},
-                    {"address", Announced.empty() ? Address : Announced},
-                    {"zone", "a"},
-                    {"version", "v1"},
-                    {"slots", 8},
-                    {"state", IsDraining ? "draining" : "ready"},
-                    {"born", Born},
-                    {"seq", ++Beats}};
+  json::object body{
+      {"service", Service},
+      {"address", AnnouncedAddress.empty() ? Address : AnnouncedAddress},
+      {"zone", "a"},
+      {"version", "v1"},
+      {"slots", 8},
+      {"state", IsDraining ? "draining" : "ready"},
+      {"born", BornMs},
+      {"seq", ++Heartbeats}};
   return callHttp(
              Control,
              {"POST", "/Instances.Heartbeat/" + Id, {}, json::serialize(body)},
@@ -74,22 +75,22 @@
 
 void FakePlatformEngine::stopServer() {
   Io.stop();
-  Runner.join();
+  IoThread.join();
   Server.reset();
 }
 
 std::vector<ReceivedRequest> FakePlatformEngine::receivedRequests() const {
-  std::lock_guard guard(Lock);
-  return Seen;
+  std::lock_guard guard(Mutex);
+  return Received;
 }
 
-std::string FakePlatformEngine::printState() const {
-  std::lock_guard guard(Lock);
+std::string FakePlatformEngine::serializeState() const {
+  std::lock_guard guard(Mutex);
   return json::serialize(
       json::object{{"models", modelsOf(Models)},
                    {"busy", !Loading.empty()},
                    {"seq", Sequence},
-                   {"born", Born},
+                   {"born", BornMs},
                    {"available", json::object{{"in-memory", json::array()},
                                               {"on-disk", namesOf(OnDisk)}}}});
 }
@@ -102,17 +103,17 @@
   Loading = Model;
   auto timer = std::make_shared<boost::asio::steady_timer>(Io, LoadTime.load());
   timer->async_wait([this, timer](auto) {
-    std::lock_guard guard(Lock);
+    std::lock_guard guard(Mutex);
     Models.insert(Loading);
     Loading.clear();
     ++Sequence;
   });
 }
 
-void FakePlatformEngine::takeOrder(const HttpRequest &Request,
-                                   HttpExchange &Exchange) {
+void FakePlatformEngine::handleOrder(const HttpRequest &Request,
+                                     HttpExchange &Exchange) {
   json::object order = json::parse(Request.Body).as_object();
-  std::lock_guard guard(Lock);
+  std::lock_guard guard(Mutex);
   ++Orders;
   if (order.at("precondition").to_number<uint64_t>() != Sequence) {
     Exchange.respond(409, {}, "");
@@ -127,22 +128,22 @@
   Exchange.respond(202, {}, "");
 }
 
-void FakePlatformEngine::take(const HttpRequest &Request,
-                              const std::shared_ptr<HttpExchange> &Exchange) {
+void FakePlatformEngine::handleRequest(
+    const HttpRequest &Request, const std::shared_ptr<HttpExchange> &Exchange) {
   if (Request.Target == "/report") {
-    Exchange->respond(200, {}, printState());
+    Exchange->respond(200, {}, serializeState());
     return;
   }
   if (Request.Target == "/order") {
-    takeOrder(Request, *Exchange);
+    handleOrder(Request, *Exchange);
     return;
   }
   std::string id(fieldOf(Request.Fields, "sassafrasseam-attempt-id"));
   {
-    std::lock_guard guard(Lock);
-    Seen.push_back({id, Request.Fields, Request.Body});
+    std::lock_guard guard(Mutex);
+    Received.push_back({id, Request.Fields, Request.Body});
   }
-  if (BreaksAnswers) {
+  if (AbortsResponses) {
     Exchange->abort();
     return;
   }
@@ -159,7 +160,8 @@
     return;
   }
   Exchange->write("id: " + std::to_string(Next) + "\ndata: x\n\n");
-  auto timer = std::make_shared<boost::asio::steady_timer>(Io, Pace.load());
+  auto timer =
+      std::make_shared<boost::asio::steady_timer>(Io, EventInterval.load());
   timer->async_wait(
       [this, Exchange, Next, timer](auto) { stream(Exchange, Next + 1); });
 }
--- a/tests/fakes/fake_platform_engine.h
+++ b/tests/fakes/fake_platform_engine.h
@@ -1,6 +1,6 @@
 /// \file
-/// Stand-in for a model engine on the users' platform: models, orders, state,
-/// announcements and streams, in a thread of the test.
+/// Fake model engine of the users' platform: serves orders, state reports and
+/// event streams on a thread of the test process, and announces itself.
 #ifndef SASSAFRAS_TESTS_FAKES_FAKE_PLATFORM_ENGINE_H
 #define SASSAFRAS_TESTS_FAKES_FAKE_PLATFORM_ENGINE_H
 
@@ -20,7 +20,7 @@
 
 namespace sassafras {
 
-/// What the engine saw of one request.
+/// One caller request as the engine received it.
 struct ReceivedRequest {
   std::string Id;
   std::vector<HttpField> Fields;
@@ -36,49 +36,55 @@
   FakePlatformEngine(const FakePlatformEngine &) = delete;
   FakePlatformEngine &operator=(const FakePlatformEngine &) = delete;
 
-  /// Announces itself to \p Control once.
+  /// Sends one heartbeat to \p Control and waits up to 2 s. Returns whether
+  /// the response was 200. Must not be called concurrently with itself.
   bool announce(const std::string &Control, bool IsDraining = false);
-  /// The address that announcements name in place of its own.
-  void setAnnouncedAddress(const std::string &Proxy) { Announced = Proxy; }
+  /// Sets the address that announcements contain instead of the engine's own.
+  void setAnnouncedAddress(const std::string &Proxy) {
+    AnnouncedAddress = Proxy;
+  }
+  /// Returns the caller requests received so far. Thread-safe.
   std::vector<ReceivedRequest> receivedRequests() const;
   size_t countOrders() const { return Orders; }
-  /// Time between the events of a stream.
-  void setEventInterval(Millis Pace) { this->Pace = Pace; }
-  /// Time from an accepted load to the loaded model.
+  /// Sets the time between two events of a stream.
+  void setEventInterval(Millis Interval) { this->EventInterval = Interval; }
+  /// Sets the time from the acceptance of a load order to the loaded model.
   void setLoadTime(Millis Time) { LoadTime = Time; }
-  /// Requests that run get a connection closed midway in place of an answer.
-  void abortResponses(bool AreBroken) { BreaksAnswers = AreBroken; }
-  /// Closes the server: nothing is answered any more.
+  /// While \p AreAborted is set, received caller requests get an aborted
+  /// connection instead of a response.
+  void abortResponses(bool AreAborted) { AbortsResponses = AreAborted; }
+  /// Stops the server; no request is served afterwards. Call at most once.
   void stopServer();
 
 private:
-  void take(const HttpRequest &Request,
-            const std::shared_ptr<HttpExchange> &Exchange);
-  void takeOrder(const HttpRequest &Request, HttpExchange &Exchange);
-  /// Precondition: the lock is held.
+  void handleRequest(const HttpRequest &Request,
+                     const std::shared_ptr<HttpExchange> &Exchange);
+  void handleOrder(const HttpRequest &Request, HttpExchange &Exchange);
+  /// Precondition: Mutex is held.
   void beginLoad(const std::string &Model);
   void stream(const std::shared_ptr<HttpExchange> &Exchange, int Next);
-  std::string printState() const;
+  std::string serializeState() const;
 
   std::string Id;
   std::string Service;
   std::string Address;
-  std::string Announced; ///< In place of Address, where set.
+  /// Replaces Address in announcements when not empty.
+  std::string AnnouncedAddress;
   boost::asio::io_context Io;
   Metrics Counts;
   std::unique_ptr<HttpServer> Server;
-  std::thread Runner;
-  mutable std::mutex Lock;
+  std::thread IoThread;
+  mutable std::mutex Mutex;
   std::set<std::string> Models;
   std::set<std::string> OnDisk;
-  std::vector<ReceivedRequest> Seen;
+  std::vector<ReceivedRequest> Received;
   uint64_t Sequence = 0;
-  uint64_t Beats = 0;
+  uint64_t Heartbeats = 0;
   std::atomic<size_t> Orders{0};
-  std::atomic<Millis> Pace{Millis(5)};
+  std::atomic<Millis> EventInterval{Millis(5)};
   std::atomic<Millis> LoadTime{Millis(0)};
-  std::atomic<bool> BreaksAnswers{false};
-  std::string Loading; ///< Model on its way, or empty.
+  std::atomic<bool> AbortsResponses{false};
+  std::string Loading; ///< Model being loaded, or empty.
 };
 
 } // namespace sassafras
