--- a/tests/harness/free_ports.cpp
+++ b/tests/harness/free_ports.cpp
@@ -12,75 +12,76 @@
 
 constexpr uint16_t FirstPort = 10'000;
 constexpr uint16_t BlockSize = 64;
-/// First port of outgoing connections where the kernel does not tell.
-constexpr uint16_t UsualOutgoingPort = 32'768;
+/// First ephemeral port where the kernel does not report it.
+constexpr uint16_t DefaultEphemeralPort = 32'768;
 
-uint16_t outgoingPort() {
+uint16_t firstEphemeralPort() {
   std::ifstream in("/proc/sys/net/ipv4/ip_local_port_range");
   uint16_t first = 0;
-  return in >> first ? first : UsualOutgoingPort;
+  return in >> first ? first : DefaultEphemeralPort;
 }
 
-/// Binds \p Port for this process alone. -1 when somebody has it.
-int bindAlone(uint16_t Port) {
-  int file = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+/// Binds \p Port exclusively and returns the socket, or -1 if it is in use.
+int bindExclusively(uint16_t Port) {
+  int descriptor = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   sockaddr_in address{};
   address.sin_family = AF_INET;
   address.sin_port = htons(Port);
-  if (::bind(file, reinterpret_cast<sockaddr *>(&address), sizeof(address)) ==
-      0)
-    return file;
-  ::close(file);
+  if (::bind(descriptor, reinterpret_cast<sockaddr *>(&address),
+             sizeof(address)) == 0)
+    return descriptor;
+  ::close(descriptor);
   return -1;
 }
 
 bool isFree(uint16_t Port) {
-  int file = bindAlone(Port);
-  if (file < 0)
+  int descriptor = bindExclusively(Port);
+  if (descriptor < 0)
     return false;
-  ::close(file);
+  ::close(descriptor);
   return true;
 }
 
-/// The block in use and its next port.
-struct Claim {
+/// The rest of the block of ports that this process has reserved.
+struct PortBlock {
   uint16_t Next = 0;
   uint16_t End = 0;
 };
 
-Claim claimBlock() {
+PortBlock reserveBlock() {
   static uint16_t block = 0;
-  uint16_t blocks = (outgoingPort() - FirstPort) / BlockSize;
-  while (block < blocks) {
+  uint16_t blockCount = (firstEphemeralPort() - FirstPort) / BlockSize;
+  while (block < blockCount) {
     uint16_t first = FirstPort + block * BlockSize;
     ++block;
-    // The first port of a block is held until the process ends: by it others
-    // see that the block is taken.
-    if (bindAlone(first) >= 0)
+    // The first port of a block stays bound until the process exits, which
+    // shows other processes that the block is reserved.
+    if (bindExclusively(first) >= 0)
       return {static_cast<uint16_t>(first + 1),
               static_cast<uint16_t>(first + BlockSize)};
   }
-  throw std::runtime_error("no block of ports is free");
+  throw std::runtime_error(
+      "no free block of 64 ports below the ephemeral range");
 }
 
 } // namespace
 
-uint16_t claimPorts(size_t Count) {
-  static Claim claim;
-  size_t run = 0;
+uint16_t reservePorts(size_t Count) {
+  static PortBlock current;
+  size_t consecutive = 0;
   for (;;) {
-    if (claim.Next == claim.End) {
-      claim = claimBlock();
-      run = 0;
+    if (current.Next == current.End) {
+      current = reserveBlock();
+      consecutive = 0;
     }
-    run = isFree(claim.Next++) ? run + 1 : 0;
-    if (run == Count)
-      return static_cast<uint16_t>(claim.Next - Count);
+    consecutive = isFree(current.Next++) ? consecutive + 1 : 0;
+    if (consecutive == Count)
+      return static_cast<uint16_t>(current.Next - Count);
   }
 }
 
-std::string claimAddress() {
-  return "127.0.0.1:" + std::to_string(claimPorts(1));
+std::string reserveAddress() {
+  return "127.0.0.1:" + std::to_string(reservePorts(1));
 }
 
 } // namespace sassafras
--- a/tests/harness/free_ports.h
+++ b/tests/harness/free_ports.h
@@ -1,5 +1,5 @@
 /// \file
-/// Ports for test processes, which no other process can take in between.
+/// Reserves ports so that concurrent test processes do not use the same ones.
 #ifndef SASSAFRAS_TESTS_HARNESS_FREE_PORTS_H
 #define SASSAFRAS_TESTS_HARNESS_FREE_PORTS_H
 
@@ -9,12 +9,13 @@
 
 namespace sassafras {
 
-/// The first of \p Count ports in a row, fewer than a block has. They lie below
-/// those that the kernel gives to outgoing connections, in a block that other
-/// test processes leave alone while this one lives. Throws when all are taken.
-uint16_t claimPorts(size_t Count);
-/// One claimed port at 127.0.0.1.
-std::string claimAddress();
+/// Returns the first of \p Count consecutive ports; \p Count must be below the
+/// block size of 64. The ports lie below the kernel's ephemeral range, in a
+/// block that other test processes do not use until this process exits. Throws
+/// std::runtime_error if no block is free. Not thread-safe.
+uint16_t reservePorts(size_t Count);
+/// Returns 127.0.0.1 with one reserved port. Not thread-safe.
+std::string reserveAddress();
 
 } // namespace sassafras
 
--- a/tests/harness/front_fleet.cpp
+++ b/tests/harness/front_fleet.cpp
@@ -19,8 +19,8 @@
 
 namespace {
 
-constexpr int PortsOfHost = 8;
-/// Host of the engine of a ServedFleet.
+constexpr int PortsPerHost = 8;
+/// Host number of the engine of a ServedFleet.
 constexpr int EngineHost = 50;
 
 std::string readFile(const std::string &Path) {
@@ -36,7 +36,7 @@
   std::string pattern =
       (files::temp_directory_path() / "sassafras-front-XXXXXX").string();
   Folder = mkdtemp(pattern.data());
-  Base = claimPorts(PortsOfHost);
+  BasePort = reservePorts(PortsPerHost);
   for (int i = 1; i <= Size.Fronts; ++i)
     start(i, true);
 }
@@ -57,7 +57,7 @@
 }
 
 std::string FrontFleet::addressOf(int Host, int Port) const {
-  return Net + std::to_string(Host) + ":" + std::to_string(Base + Port);
+  return Subnet + std::to_string(Host) + ":" + std::to_string(BasePort + Port);
 }
 
 void FrontFleet::start(int Host, bool IsNew) {
@@ -120,13 +120,13 @@
 
 namespace {
 
-/// Follows one redirection to the leader.
+/// Sends a request and follows one redirect to the leader.
 CallerResponse callLeader(const std::string &Address,
                           const HttpRequest &Request) {
-  CallerResponse answer = callHttp(Address, Request, seconds(3));
-  if (answer.Status != 307)
-    return answer;
-  std::string location(fieldOf(answer.Fields, "location"));
+  CallerResponse response = callHttp(Address, Request, seconds(3));
+  if (response.Status != 307)
+    return response;
+  std::string location(fieldOf(response.Fields, "location"));
   std::string leader = location.substr(7, location.find('/', 7) - 7);
   return callHttp(leader, Request, seconds(3));
 }
@@ -139,9 +139,9 @@
 }
 
 std::string FrontFleet::readTable(int Host) const {
-  CallerResponse answer =
+  CallerResponse response =
       callLeader(controlAddress(Host), {"GET", "/Config.Get", {}, {}});
-  return answer.Status == 200 ? answer.Body : std::string();
+  return response.Status == 200 ? response.Body : std::string();
 }
 
 bool FrontFleet::isRunning(const std::string &Process) const {
@@ -166,11 +166,11 @@
   return Folder + "/" + Process + ".toml";
 }
 
-ToolResult FrontFleet::ctl(const std::string &Words) const {
-  static std::atomic<int> serial{0};
-  std::string base = Folder + "/ctl-" + std::to_string(serial++);
+ToolResult FrontFleet::ctl(const std::string &Arguments) const {
+  static std::atomic<int> runCount{0};
+  std::string base = Folder + "/ctl-" + std::to_string(runCount++);
   std::string command = std::string(TOOL_PROGRAM) + " --settings " +
-                        settingsPathOf(frontName(1)) + " " + Words + " >" +
+                        settingsPathOf(frontName(1)) + " " + Arguments + " >" +
                         base + ".out 2>" + base + ".err";
   int state = std::system(command.c_str());
   return {WEXITSTATUS(state), readFile(base + ".out"), readFile(base + ".err")};
@@ -187,24 +187,25 @@
   std::string path = settingsPathOf(Process);
   std::ofstream(path) << Toml;
   std::string output = logFile(Process);
-  size_t before = log(Process).size();
+  size_t logStart = log(Process).size();
   std::string program = DAEMON_PROGRAM;
   std::string flag = "--settings";
-  char *words[] = {program.data(), flag.data(), path.data(), nullptr};
+  char *arguments[] = {program.data(), flag.data(), path.data(), nullptr};
   posix_spawn_file_actions_t actions;
   posix_spawn_file_actions_init(&actions);
   posix_spawn_file_actions_addopen(&actions, 1, output.c_str(),
                                    O_WRONLY | O_CREAT | O_APPEND, 0600);
   pid_t pid = 0;
-  posix_spawn(&pid, words[0], &actions, nullptr, words, environ);
+  posix_spawn(&pid, arguments[0], &actions, nullptr, arguments, environ);
   posix_spawn_file_actions_destroy(&actions);
   Processes[Process] = pid;
-  bool isUp = waitUntil(seconds(10), [&] {
-    return log(Process).find("event=started ", before) != std::string::npos;
+  bool isStarted = waitUntil(seconds(10), [&] {
+    return log(Process).find("event=started ", logStart) != std::string::npos;
   });
-  if (!isUp)
+  if (!isStarted)
     throw std::runtime_error(Process +
-                             " did not start: " + log(Process).substr(before));
+                             " did not start within 10 s; log output: " +
+                             log(Process).substr(logStart));
 }
 
 std::string tableText(int Version, const std::string &Prefix,
@@ -242,10 +243,10 @@
     : Engine("i-1", "chat", Fleet.addressOf(EngineHost, 7), {"warm"},
              {"cold"}) {
   Fleet.startAgent(EngineHost, Fleet.addressOf(EngineHost, 7));
-  bool isPut =
+  bool isAccepted =
       waitUntil(seconds(15), [&] { return Fleet.putTable(1, Table) == 200; });
-  if (!isPut)
-    throw std::runtime_error("no front took the table");
+  if (!isAccepted)
+    throw std::runtime_error("no front accepted the table within 15 s");
   Announcer = std::thread([this] {
     for (int i = 0; IsAnnouncing; ++i) {
       Engine.announce(Fleet.controlAddress(1 + i % Fleet.frontCount()));
@@ -254,7 +255,8 @@
   });
   for (int i = 1; i <= Fleet.frontCount(); ++i)
     if (!waitUntil(seconds(10), [&] { return Fleet.isReady(i); }))
-      throw std::runtime_error(FrontFleet::frontName(i) + " is not ready");
+      throw std::runtime_error(FrontFleet::frontName(i) +
+                               " is not ready after 10 s");
 }
 
 void ServedFleet::stopAnnouncing() {
--- a/tests/harness/front_fleet.h
+++ b/tests/harness/front_fleet.h
@@ -1,6 +1,6 @@
 /// \file
-/// Fronts and engine agents as real processes on loopback, each host with an
-/// address of its own, and what a caller and an operator do with them.
+/// Runs fronts and engine agents as processes on loopback, with one IP address
+/// for each host, and acts as their callers and operators.
 #ifndef SASSAFRAS_TESTS_HARNESS_FRONT_FLEET_H
 #define SASSAFRAS_TESTS_HARNESS_FRONT_FLEET_H
 
@@ -15,7 +15,7 @@
 
 namespace sassafras {
 
-/// How many fronts there are, and how many of them keep the table on a disk.
+/// Number of fronts, and how many of them store the table on a disk.
 struct FrontFleetSize {
   int Fronts = 4;
   int Disks = 3;
@@ -24,43 +24,47 @@
 class FrontFleet {
 public:
   explicit FrontFleet(FrontFleetSize Size = {});
-  /// Kills whatever still runs and removes the folder.
+  /// Kills the remaining processes and removes the folder, unless
+  /// KEEP_FLEET_FOLDER is set.
   ~FrontFleet();
   FrontFleet(const FrontFleet &) = delete;
   FrontFleet &operator=(const FrontFleet &) = delete;
 
-  /// Address of a host, and the port of one of its servers. Ports are the same
-  /// on all hosts: 0 inner, 1 callers, 2 readiness, 3 operators, 7 an engine.
+  /// Returns the address and port of one server of a host. \p Port is an offset
+  /// and means the same on all hosts: 0 internal, 1 callers, 2 readiness,
+  /// 3 operators, 7 engine.
   std::string addressOf(int Host, int Port) const;
   std::string callerAddress(int Host) const { return addressOf(Host, 1); }
   std::string controlAddress(int Host) const { return addressOf(Host, 3); }
   int frontCount() const { return Size.Fronts; }
   int diskCount() const { return Size.Disks; }
 
-  /// \p IsNew: the fleet starts for the first time.
+  /// Starts a front. \p IsNew lets it form a new group (setting may_form).
   void start(int Host, bool IsNew);
   void startAgent(int Host, const std::string &Engine);
   void signal(const std::string &Process, int Signal);
-  /// Exit code, -1 when it still runs after \p Limit, -2 when a signal ended
-  /// it.
+  /// Returns the exit code, -1 if the process is unknown or still runs after
+  /// \p Limit, or -2 if a signal terminated it.
   int waitForExit(const std::string &Process, std::chrono::seconds Limit);
+  /// Sends SIGKILL and waits up to 5 s for the process to end.
   void kill(const std::string &Process);
-  /// Empties the data folder of a front that does not run.
+  /// Deletes the data folder of a front, which must not be running.
   void loseDisk(int Host);
 
   bool isReady(int Host) const;
-  /// Puts a table at a front, or at the one that it names as the leader; the
-  /// answer's status.
+  /// Puts a table at a front, following one redirect to the leader; returns the
+  /// status of the response.
   unsigned putTable(int Host, const std::string &Text) const;
-  /// The table as operators read it, from \p Host or the leader that it
-  /// names; empty when there is none to be had.
+  /// Returns the table as operators read it, from \p Host or the leader that it
+  /// redirects to; empty if the status is not 200.
   std::string readTable(int Host) const;
   bool isRunning(const std::string &Process) const;
   std::string log(const std::string &Process) const;
   std::string logFile(const std::string &Process) const;
   std::string settingsPathOf(const std::string &Process) const;
-  /// Runs the operators' tool with the settings of front 1.
-  ToolResult ctl(const std::string &Words) const;
+  /// Runs the operator tool with the settings of front 1.
+  ToolResult ctl(const std::string &Arguments) const;
+  /// Names of the processes that were started and not yet waited for.
   std::vector<std::string> processes() const;
 
   static std::string frontName(int Host);
@@ -71,25 +75,30 @@
 
   FrontFleetSize Size;
   std::string Folder;
-  std::string Net = "127.77.0.";
-  int Base = 0;
+  std::string Subnet = "127.77.0.";
+  int BasePort = 0;
   std::map<std::string, pid_t> Processes;
 };
 
-/// A table of one service of engines with the models "warm" and "cold", one
-/// organisation with the key "secret-key", and one streaming route.
+/// Returns a serving table with one service of engines with the models "warm"
+/// and "cold", one organisation with the key "secret-key" and one streaming
+/// route.
 std::string tableText(int Version, const std::string &Prefix = "/p/",
                       uint64_t RatePerSecond = 0);
 
-/// One request of a caller with \p Id as its own.
+/// Sends a caller request with \p Id as its attempt id and waits for the
+/// response.
 CallerResponse sendCallerRequest(const std::string &Address,
                                  const std::string &Id,
                                  const std::string &Model,
                                  const std::string &Key = "secret-key",
                                  const std::string &Path = "/p/x");
 
-/// A fleet with a table in force and one engine that announces itself.
+/// A fleet with a table and one engine that sends heartbeats to the fronts in
+/// turn, one every 300 ms.
 struct ServedFleet {
+  /// Waits until all fronts are ready; throws std::runtime_error if the table
+  /// is not accepted within 15 s or a front is not ready within 10 s.
   explicit ServedFleet(const std::string &Table = tableText(1));
   ~ServedFleet() { stopAnnouncing(); }
   ServedFleet(const ServedFleet &) = delete;
--- a/tests/harness/process_fleet.cpp
+++ b/tests/harness/process_fleet.cpp
@@ -31,8 +31,8 @@
 namespace http = boost::beast::http;
 namespace files = std::filesystem;
 
-constexpr Millis Poll{20};
-constexpr std::chrono::seconds StartLimit{10};
+constexpr Millis PollInterval{20};
+constexpr std::chrono::seconds StartTimeout{10};
 
 std::string readFile(const std::string &Path) {
   std::ifstream in(Path);
@@ -41,9 +41,10 @@
   return out.str();
 }
 
-/// Replaces the value of \p Key in TOML text that has it on a line alone.
-void setKey(std::string &Toml, const std::string &Key,
-            const std::string &Value) {
+/// Replaces the value of the first line of TOML text that assigns \p Key; does
+/// nothing if there is none.
+void setTomlValue(std::string &Toml, const std::string &Key,
+                  const std::string &Value) {
   size_t at = Toml.find("\n" + Key + " = ");
   if (at == std::string::npos)
     return;
@@ -53,9 +54,9 @@
 
 std::string quote(const std::string &Text) { return "\"" + Text + "\""; }
 
-/// Reads the answer's body until it ends or breaks.
-void readAnswer(beast::tcp_stream &Stream, asio::io_context &Io,
-                CallerResponse &Answer, std::chrono::seconds Limit) {
+/// Reads the response until it ends, the connection fails or \p Limit expires.
+void readResponse(beast::tcp_stream &Stream, asio::io_context &Io,
+                  CallerResponse &Response, std::chrono::seconds Limit) {
   beast::flat_buffer buffer;
   http::response_parser<http::string_body> parser;
   parser.body_limit(std::numeric_limits<uint64_t>::max());
@@ -71,29 +72,29 @@
     Io.run_one();
   if (!parser.is_header_done())
     return;
-  Answer.Status = parser.get().result_int();
+  Response.Status = parser.get().result_int();
   for (const auto &it : parser.get()) {
     std::string name(it.name_string());
     for (char &c : name)
       c = static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
-    Answer.Fields.push_back({name, std::string(it.value())});
+    Response.Fields.push_back({name, std::string(it.value())});
   }
-  Answer.Body = parser.get().body();
-  Answer.IsComplete = !error && parser.is_done();
+  Response.Body = parser.get().body();
+  Response.IsComplete = !error && parser.is_done();
 }
 
 } // namespace
 
 CallerResponse callHttp(const std::string &Address, const HttpRequest &Request,
                         std::chrono::seconds Limit) {
-  CallerResponse answer;
+  CallerResponse response;
   auto address = parseAddress(Address);
   asio::io_context io;
   beast::tcp_stream stream(io);
   beast::error_code ec;
   stream.connect({asio::ip::make_address(address->Ip), address->Port}, ec);
   if (ec)
-    return answer;
+    return response;
   http::request<http::string_body> message;
   message.method_string(Request.Method);
   message.target(Request.Target);
@@ -107,8 +108,8 @@
   message.prepare_payload();
   http::write(stream, message, ec);
   if (!ec)
-    readAnswer(stream, io, answer, Limit);
-  return answer;
+    readResponse(stream, io, response, Limit);
+  return response;
 }
 
 bool waitUntil(std::chrono::seconds Limit, const std::function<bool()> &Check) {
@@ -116,7 +117,7 @@
   while (!Check()) {
     if (isPast(deadline, Clock::now()))
       return false;
-    std::this_thread::sleep_for(Poll);
+    std::this_thread::sleep_for(PollInterval);
   }
   return true;
 }
@@ -143,10 +144,10 @@
       (files::temp_directory_path() / "sassafras-XXXXXX").string();
   Folder = mkdtemp(pattern.data());
   for (int i = 1; i <= 3; ++i)
-    ControlInner.push_back(claimAddress());
-  Store = claimAddress();
-  spawn("store",
-        {STORE_PROGRAM, "-l", Store, "-t", std::to_string(LoadTime.count())});
+    ControlAddresses.push_back(reserveAddress());
+  StoreAddress = reserveAddress();
+  spawn("store", {STORE_PROGRAM, "-l", StoreAddress, "-t",
+                  std::to_string(LoadTime.count())});
 }
 
 ProcessFleet::~ProcessFleet() {
@@ -157,13 +158,13 @@
 }
 
 void ProcessFleet::spawn(const std::string &Process,
-                         std::vector<std::string> Words) {
-  // One that is forgotten outlives its fleet, and speaks to whoever has its
-  // fleet's ports next.
+                         std::vector<std::string> Arguments) {
+  // Overwriting the entry would leave the old process unmanaged: it would
+  // outlive its fleet and send to the next processes that use the same ports.
   if (isRunning(Process))
-    throw std::logic_error(Process + " is running already");
+    throw std::logic_error(Process + " is already running");
   std::vector<char *> arguments;
-  for (std::string &it : Words)
+  for (std::string &it : Arguments)
     arguments.push_back(it.data());
   arguments.push_back(nullptr);
   std::string output = Folder + "/" + Process + ".log";
@@ -179,36 +180,38 @@
 }
 
 void ProcessFleet::startDaemon(const std::string &Process) {
-  size_t before = log(Process).size();
+  size_t logStart = log(Process).size();
   spawn(Process, {DAEMON_PROGRAM, "--settings", settingsPathOf(Process)});
-  std::string said;
-  bool isHeard = waitUntil(StartLimit, [&] {
-    bool isUp = isRunning(Process);
-    said = log(Process).substr(before);
-    return !isUp || said.find("event=started ") != std::string::npos;
+  std::string newOutput;
+  bool hasResult = waitUntil(StartTimeout, [&] {
+    bool isAlive = isRunning(Process);
+    newOutput = log(Process).substr(logStart);
+    return !isAlive || newOutput.find("event=started ") != std::string::npos;
   });
-  if (!isHeard || said.find("event=started ") == std::string::npos)
-    throw std::runtime_error(Process + " did not start: " + said);
+  if (!hasResult || newOutput.find("event=started ") == std::string::npos)
+    throw std::runtime_error(
+        Process +
+        " exited or did not start within 10 s; log output: " + newOutput);
 }
 
 std::string ProcessFleet::writeSettings(const std::string &Sample,
                                         const std::string &Node,
                                         const std::string &Zone,
-                                        const std::string &InnerAddress) {
+                                        const std::string &InternalAddress) {
   std::string toml =
       readFile(SAMPLES_FOLDER "/" + Kind.Name + "/" + Sample + ".toml");
-  if (!Http.contains(Node))
-    Http[Node] = claimAddress();
-  Inner[Node] = InnerAddress;
+  if (!HttpAddresses.contains(Node))
+    HttpAddresses[Node] = reserveAddress();
+  InternalAddresses[Node] = InternalAddress;
   std::string control = "[";
-  for (const std::string &it : ControlInner)
+  for (const std::string &it : ControlAddresses)
     control += (control.size() > 1 ? ", " : "") + quote(it);
-  setKey(toml, "node", quote(Node));
-  setKey(toml, "zone", quote(Zone));
-  setKey(toml, "listen", quote(InnerAddress));
-  setKey(toml, "http", quote(Http[Node]));
-  setKey(toml, "control", control + "]");
-  setKey(toml, "data_folder", quote(Folder + "/" + Node + "-data"));
+  setTomlValue(toml, "node", quote(Node));
+  setTomlValue(toml, "zone", quote(Zone));
+  setTomlValue(toml, "listen", quote(InternalAddress));
+  setTomlValue(toml, "http", quote(HttpAddresses[Node]));
+  setTomlValue(toml, "control", control + "]");
+  setTomlValue(toml, "data_folder", quote(Folder + "/" + Node + "-data"));
   std::string path = settingsPathOf(Node);
   std::ofstream(path) << toml;
   return path;
@@ -219,7 +222,7 @@
 }
 
 std::string ProcessFleet::httpAddressOf(const std::string &Process) const {
-  return Http.at(Process);
+  return HttpAddresses.at(Process);
 }
 
 std::string ProcessFleet::sampleTable() const {
@@ -230,49 +233,49 @@
   std::string name = controlName(Number);
   size_t index = static_cast<size_t>(Number) - 1;
   writeSettings("control", name, Kind.Zones[index % Kind.Zones.size()],
-                ControlInner[index]);
+                ControlAddresses[index]);
   startDaemon(name);
 }
 
 void ProcessFleet::startEntry(int Number) {
   std::string name = entryName(Number);
-  if (!Inner.contains(name))
-    Inner[name] = claimAddress();
+  if (!InternalAddresses.contains(name))
+    InternalAddresses[name] = reserveAddress();
   size_t index = static_cast<size_t>(Number);
   writeSettings("entry", name, Kind.Zones[index % Kind.Zones.size()],
-                Inner[name]);
+                InternalAddresses[name]);
   startDaemon(name);
 }
 
 void ProcessFleet::startAgentOnly(int Number) {
   std::string name = engineName(Number);
-  if (!Inner.contains(name))
-    Inner[name] = claimAddress();
+  if (!InternalAddresses.contains(name))
+    InternalAddresses[name] = reserveAddress();
   size_t index = static_cast<size_t>(Number);
   writeSettings("agent", name, Kind.Zones[index % Kind.Zones.size()],
-                Inner[name]);
+                InternalAddresses[name]);
   startDaemon(name);
 }
 
 void ProcessFleet::startEngineOnly(int Number, EngineOptions Options) {
   std::string name = engineName(Number);
   std::string fake = name + "-endpoint";
-  if (!Http.contains(fake))
-    Http[fake] = claimAddress();
-  std::vector<std::string> words{ENDPOINT_PROGRAM,
-                                 "-l",
-                                 Http[fake],
-                                 "-a",
-                                 Http[name],
-                                 "-s",
-                                 Store,
-                                 "-m",
-                                 std::to_string(Options.MemoryMb),
-                                 "-t",
-                                 std::to_string(Options.TokenMs)};
+  if (!HttpAddresses.contains(fake))
+    HttpAddresses[fake] = reserveAddress();
+  std::vector<std::string> commandLine{ENDPOINT_PROGRAM,
+                                       "-l",
+                                       HttpAddresses[fake],
+                                       "-a",
+                                       HttpAddresses[name],
+                                       "-s",
+                                       StoreAddress,
+                                       "-m",
+                                       std::to_string(Options.MemoryMb),
+                                       "-t",
+                                       std::to_string(Options.TokenMs)};
   if (Options.IgnoresFences)
-    words.push_back("-i");
-  spawn(fake, std::move(words));
+    commandLine.push_back("-i");
+  spawn(fake, std::move(commandLine));
 }
 
 void ProcessFleet::startEngine(int Number, EngineOptions Options) {
@@ -282,15 +285,16 @@
 
 void ProcessFleet::startService() {
   std::string name = "service-1";
-  if (!Inner.contains(name))
-    Inner[name] = claimAddress();
-  writeSettings("service_agent", name, Kind.Zones[0], Inner[name]);
+  if (!InternalAddresses.contains(name))
+    InternalAddresses[name] = reserveAddress();
+  writeSettings("service_agent", name, Kind.Zones[0], InternalAddresses[name]);
   startDaemon(name);
   std::string fake = name + "-endpoint";
-  if (!Http.contains(fake))
-    Http[fake] = claimAddress();
+  if (!HttpAddresses.contains(fake))
+    HttpAddresses[fake] = reserveAddress();
   if (!isRunning(fake))
-    spawn(fake, {ENDPOINT_PROGRAM, "-p", "-l", Http[fake], "-a", Http[name]});
+    spawn(fake, {ENDPOINT_PROGRAM, "-p", "-l", HttpAddresses[fake], "-a",
+                 HttpAddresses[name]});
 }
 
 void ProcessFleet::startAll(int Engines, EngineOptions Options) {
@@ -359,12 +363,12 @@
   return names;
 }
 
-ToolResult ProcessFleet::ctl(const std::vector<std::string> &Words) {
-  static int serial = 0;
-  std::string base = Folder + "/ctl-" + std::to_string(serial++);
+ToolResult ProcessFleet::ctl(const std::vector<std::string> &Arguments) {
+  static int runCount = 0;
+  std::string base = Folder + "/ctl-" + std::to_string(runCount++);
   std::string command = std::string(TOOL_PROGRAM) + " --settings " +
                         settingsPathOf(controlName(1));
-  for (const std::string &it : Words)
+  for (const std::string &it : Arguments)
     command += " " + it;
   command += " >" + base + ".out 2>" + base + ".err";
   int state = std::system(command.c_str());
@@ -384,9 +388,9 @@
   return found;
 }
 
-std::string ProcessFleet::grantKey(const std::string &Tenant,
+std::string ProcessFleet::grantKey(const std::string &Organisation,
                                    const std::string &Id) {
-  ToolResult result = ctl({"--wait", "--id", Id, "key", "grant", Tenant});
+  ToolResult result = ctl({"--wait", "--id", Id, "key", "grant", Organisation});
   size_t at = result.Out.find("key sk-");
   if (result.Code != 0 || at == std::string::npos)
     return {};
@@ -396,10 +400,10 @@
 
 double ProcessFleet::metric(const std::string &Process,
                             const std::string &Name) {
-  CallerResponse answer =
+  CallerResponse response =
       callHttp(httpAddressOf(Process), {"GET", "/metrics", {}, {}},
                std::chrono::seconds(2));
-  std::istringstream in(answer.Body);
+  std::istringstream in(response.Body);
   std::string line;
   while (std::getline(in, line))
     if (line.starts_with(Name + " "))
--- a/tests/harness/process_fleet.h
+++ b/tests/harness/process_fleet.h
@@ -1,6 +1,6 @@
 /// \file
-/// Starts a fleet of real processes on loopback and talks to it as callers
-/// and operators do.
+/// Starts a fleet of processes on loopback and acts as its callers and
+/// operators.
 #ifndef SASSAFRAS_TESTS_HARNESS_PROCESS_FLEET_H
 #define SASSAFRAS_TESTS_HARNESS_PROCESS_FLEET_H
 
@@ -15,26 +15,27 @@
 
 namespace sassafras {
 
-/// A caller's view of an answer.
+/// A response as the caller received it.
 struct CallerResponse {
-  unsigned Status = 0; ///< 0 when no head came.
+  unsigned Status = 0; ///< 0 if no header was received.
   std::vector<HttpField> Fields;
   std::string Body;
-  bool IsComplete = false; ///< The answer ended as HTTP says it should.
+  bool IsComplete = false; ///< The body ended as HTTP framing requires.
 };
 
-/// What a command printed and returned.
+/// Output and exit code of a command.
 struct ToolResult {
   int Code = -1;
   std::string Out;
   std::string Errors;
 };
 
-/// One blocking request to \p Address.
+/// Sends a request to \p Address and blocks until the response has been read.
+/// \p Limit restricts the time for reading the response.
 CallerResponse callHttp(const std::string &Address, const HttpRequest &Request,
                         std::chrono::seconds Limit = std::chrono::seconds(30));
 
-/// One kind of fleet: names of its samples and zones.
+/// A sample deployment: its folder of sample settings and its zones.
 struct Deployment {
   std::string Name;
   std::vector<std::string> Zones;
@@ -42,23 +43,24 @@
 Deployment bloomline();
 Deployment fixIt();
 
-/// How an engine stand-in is started.
+/// Options of a fake engine.
 struct EngineOptions {
   uint64_t MemoryMb = 12000;
   bool IgnoresFences = false;
-  int TokenMs = 5;
+  int TokenMs = 5; ///< Time to generate one token.
 };
 
 class ProcessFleet {
 public:
-  /// \p LoadTime is what the store takes for one load.
+  /// Starts the fake store, which takes \p LoadTime for one load.
   ProcessFleet(Deployment Kind, Millis LoadTime);
-  /// Kills whatever still runs and removes the folder.
+  /// Kills the remaining processes and removes the folder, unless
+  /// KEEP_FLEET_FOLDER is set.
   ~ProcessFleet();
   ProcessFleet(const ProcessFleet &) = delete;
   ProcessFleet &operator=(const ProcessFleet &) = delete;
 
-  /// The whole fleet: 3 control, 2 entries, agents and stand-ins.
+  /// Starts 3 control members, 2 entries, the agents and the fake endpoints.
   void startAll(int Engines, EngineOptions Options);
   void startControl(int Number);
   void startEntry(int Number);
@@ -66,35 +68,41 @@
   void startEngineOnly(int Number, EngineOptions Options);
   void startAgentOnly(int Number);
   void startService();
-  /// Removes a control member's data folder.
+  /// Deletes the data folder of a control member.
   void loseDisk(int Number);
-  /// Takes the folder away, to be put back later.
+  /// Moves the data folder of a control member aside until reattachDisk.
   void detachDisk(int Number);
   void reattachDisk(int Number);
 
   void signal(const std::string &Process, int Signal);
-  /// Exit code of a process, or -1 when it still runs after \p Limit.
+  /// Returns the exit code of a process, 128 plus the signal that terminated
+  /// it, or -1 if it is unknown or still runs after \p Limit.
   int waitForExit(const std::string &Process, std::chrono::seconds Limit);
+  /// Sends SIGKILL and waits up to 10 s for the process to end.
   void kill(const std::string &Process);
   bool isRunning(const std::string &Process);
   pid_t pidOf(const std::string &Process) const {
     return Processes.at(Process);
   }
+  /// Names of the processes that were started and not yet waited for.
   std::vector<std::string> running();
 
   std::string entryAddress(int Number) const {
-    return Http.at(entryName(Number));
+    return HttpAddresses.at(entryName(Number));
   }
   std::string httpAddressOf(const std::string &Process) const;
   std::string sampleTable() const;
   std::string folder() const { return Folder; }
   std::string settingsPathOf(const std::string &Process) const;
-  ToolResult ctl(const std::vector<std::string> &Words);
-  /// Name of the leading control process, or empty.
+  /// Runs the operator tool with the settings of control member 1.
+  ToolResult ctl(const std::vector<std::string> &Arguments);
+  /// Returns the name of the control leader; waits up to 15 s for one. Empty if
+  /// there is none.
   std::string leader();
-  /// Grants a key and returns it, or empty.
-  std::string grantKey(const std::string &Tenant, const std::string &Id);
-  /// Value of a metric of a process, 0 when it has none.
+  /// Grants a key and returns it; empty on failure.
+  std::string grantKey(const std::string &Organisation, const std::string &Id);
+  /// Returns the value of a metric without labels; 0 if the process does not
+  /// report it within 2 s.
   double metric(const std::string &Process, const std::string &Name);
   std::string log(const std::string &Process) const;
 
@@ -104,21 +112,23 @@
 
 private:
   std::string writeSettings(const std::string &Sample, const std::string &Node,
-                            const std::string &Zone, const std::string &Inner);
-  void spawn(const std::string &Process, std::vector<std::string> Words);
-  /// Throws the process' own reason when it does not start.
+                            const std::string &Zone,
+                            const std::string &InternalAddress);
+  void spawn(const std::string &Process, std::vector<std::string> Arguments);
+  /// Throws std::runtime_error with the process's log output if it exits or has
+  /// not started within 10 s.
   void startDaemon(const std::string &Process);
 
   Deployment Kind;
   std::string Folder;
-  std::string Store;
-  std::vector<std::string> ControlInner;
-  std::map<std::string, std::string> Http;
-  std::map<std::string, std::string> Inner;
+  std::string StoreAddress;
+  std::vector<std::string> ControlAddresses;
+  std::map<std::string, std::string> HttpAddresses;
+  std::map<std::string, std::string> InternalAddresses;
   std::map<std::string, pid_t> Processes;
 };
 
-/// Calls \p Check until it is true; false when it is not within \p Limit.
+/// Polls \p Check every 20 ms; returns whether it became true within \p Limit.
 bool waitUntil(std::chrono::seconds Limit, const std::function<bool()> &Check);
 
 } // namespace sassafras
