--- a/tests/harness/demo.cpp
+++ b/tests/harness/demo.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The demonstration: starts a fleet, serves every kind of request, causes a
-/// few failures and says for each step what was expected and what came.
+/// Demonstration: starts a fleet, serves every kind of request, causes
+/// failures and prints the expected and the actual result of each step.
 #include "tests/harness/process_fleet.h"
 
 #include <atomic>
@@ -14,18 +14,18 @@
 
 namespace {
 
-/// Names from the sample table of a deployment.
-struct Sample {
+/// Names in the sample table of a deployment.
+struct SampleNames {
   Deployment Kind;
-  std::string Tenant;
-  std::string SmallTenant;
+  std::string Organisation;
+  std::string SmallOrganisation;
   std::string Model;
   std::string OtherModel;
   std::string Adapter;
   std::string ServicePath;
 };
 
-Sample sampleOf(const char *Name) {
+SampleNames sampleNamesOf(const char *Name) {
   if (std::strcmp(Name, "fixit") == 0)
     return {fixIt(),         "may-pen-cafe", "mandeville-cafe", "repair-note",
             "fault-history", "note-radios",  "/intake/charge"};
@@ -36,13 +36,13 @@
 
 class Demo {
 public:
-  explicit Demo(Sample Names)
+  explicit Demo(SampleNames Names)
       : Names(std::move(Names)), Fleet(this->Names.Kind, Millis(600)) {}
   int run();
 
 private:
   void step(const char *What, const std::string &Expected,
-            const std::string &Came, bool IsGood);
+            const std::string &Actual, bool HasPassed);
   CallerResponse complete(int Entry, const std::string &Key,
                           const std::string &Model, const std::string &Prompt,
                           int Tokens, bool IsStream);
@@ -50,30 +50,30 @@
   void startFleet();
   void serveModels();
   void serveService();
-  void refuse();
-  void withdraw();
-  void breakThings();
-  void inspect();
+  void causeRefusals();
+  void withdrawKey();
+  void causeFailures();
+  void checkEndpointState();
   void stopFleet();
 
-  Sample Names;
+  SampleNames Names;
   ProcessFleet Fleet;
   std::string Key;
   int Steps = 0;
-  int Good = 0;
+  int Passed = 0;
 };
 
-std::string say(const CallerResponse &Answer) {
-  return std::to_string(Answer.Status) +
-         (Answer.IsComplete ? " whole" : " cut");
+std::string describe(const CallerResponse &Response) {
+  return std::to_string(Response.Status) +
+         (Response.IsComplete ? " complete" : " truncated");
 }
 
 void Demo::step(const char *What, const std::string &Expected,
-                const std::string &Came, bool IsGood) {
+                const std::string &Actual, bool HasPassed) {
   ++Steps;
-  Good += IsGood;
-  std::printf("%s %2d %s: expected %s; came %s\n", IsGood ? "ok  " : "FAIL",
-              Steps, What, Expected.c_str(), Came.c_str());
+  Passed += HasPassed;
+  std::printf("%s %2d %s: expected %s; got %s\n", HasPassed ? "ok  " : "FAIL",
+              Steps, What, Expected.c_str(), Actual.c_str());
   std::fflush(stdout);
 }
 
@@ -100,10 +100,10 @@
 void Demo::startFleet() {
   Fleet.startAll(3, {});
   std::string leader = Fleet.leader();
-  step("fleet starts", "a control leader", leader, !leader.empty());
+  step("fleet started", "a control leader", leader, !leader.empty());
   ToolResult put = Fleet.ctl({"--wait", "table", "put", Fleet.sampleTable()});
   step("table put", "in force", put.Out + put.Errors, put.Code == 0);
-  Key = Fleet.grantKey(Names.Tenant, "first");
+  Key = Fleet.grantKey(Names.Organisation, "first");
   step("key granted", "a key", Key.empty() ? "none" : "a key", !Key.empty());
 }
 
@@ -116,140 +116,145 @@
   step("endpoints announce themselves", "4 listed",
        isListed ? "4 listed" : "fewer", isListed);
   CallerResponse cold = complete(1, Key, Names.Model, "first", 20, true);
-  bool isWhole = cold.Status == 200 && cold.IsComplete &&
-                 cold.Body.find("t19-") != std::string::npos &&
-                 cold.Body.find("[DONE]") != std::string::npos;
-  step("cold model, streamed", "200 whole, 20 tokens", say(cold), isWhole);
+  bool isComplete = cold.Status == 200 && cold.IsComplete &&
+                    cold.Body.find("t19-") != std::string::npos &&
+                    cold.Body.find("[DONE]") != std::string::npos;
+  step("cold model, streamed", "200 complete, 20 tokens", describe(cold),
+       isComplete);
   CallerResponse warm = complete(2, Key, Names.Model, "second", 20, false);
-  step("warm model, other entry", "200 whole", say(warm),
+  step("warm model, other entry", "200 complete", describe(warm),
        warm.Status == 200 && warm.IsComplete);
   CallerResponse adapter = complete(1, Key, Names.Adapter, "third", 10, true);
-  step("adapter", "200 whole", say(adapter),
+  step("adapter", "200 complete", describe(adapter),
        adapter.Status == 200 && adapter.IsComplete);
 }
 
 void Demo::serveService() {
   CallerResponse first = charge(1, "{\"charge\":1}");
-  step("plain service, a charge", "200, run once",
-       say(first) + " " + first.Body,
+  step("plain service, first charge", "200, executed once",
+       describe(first) + " " + first.Body,
        first.Status == 200 &&
            first.Body.find("\"runs\":1") != std::string::npos);
-  CallerResponse again = charge(2, "{\"charge\":1}");
-  step("the same charge again, other entry", "the first answer, not run",
-       say(again) + " " + again.Body,
-       again.Status == 200 && again.Body == first.Body);
+  CallerResponse repeated = charge(2, "{\"charge\":1}");
+  step("repeated charge, other entry", "the first response, not executed again",
+       describe(repeated) + " " + repeated.Body,
+       repeated.Status == 200 && repeated.Body == first.Body);
 }
 
-void Demo::refuse() {
+void Demo::causeRefusals() {
   CallerResponse wrong = complete(1, "sk-wrong", Names.Model, "x", 5, false);
-  step("wrong key", "401 not_run", say(wrong),
+  step("wrong key", "401 not_run", describe(wrong),
        wrong.Status == 401 && wrong.Body.find("not_run") != std::string::npos);
-  std::string small = Fleet.grantKey(Names.SmallTenant, "small");
+  std::string smallKey = Fleet.grantKey(Names.SmallOrganisation, "small");
   std::atomic<int> served{0};
   std::atomic<int> refused{0};
   std::vector<std::thread> callers;
   for (int i = 0; i < 60; ++i)
     callers.emplace_back([&, i] {
-      CallerResponse answer =
-          complete(1 + i % 2, small, Names.Model, "burst " + std::to_string(i),
-                   500, false);
-      served += answer.Status == 200;
-      refused += answer.Status == 429;
+      CallerResponse response =
+          complete(1 + i % 2, smallKey, Names.Model,
+                   "burst " + std::to_string(i), 500, false);
+      served += response.Status == 200;
+      refused += response.Status == 429;
     });
   for (std::thread &it : callers)
     it.join();
-  step("organisation far over its rate", "some 200, some 429, nothing else",
-       std::to_string(served) + " of 200, " + std::to_string(refused) +
-           " of 429",
+  step("organisation far above its rate", "only 200 and 429, some of each",
+       std::to_string(served) + " with 200, " + std::to_string(refused) +
+           " with 429",
        served > 0 && refused > 0 && served + refused == 60);
 }
 
-void Demo::withdraw() {
-  std::string key = Fleet.grantKey(Names.Tenant, "second");
-  std::atomic<bool> isOver{false};
+void Demo::withdrawKey() {
+  std::string key = Fleet.grantKey(Names.Organisation, "second");
+  std::atomic<bool> isStopping{false};
   std::atomic<int> served{0};
   std::thread traffic([&] {
-    while (!isOver)
+    while (!isStopping)
       served +=
           complete(1, key, Names.Model, "traffic", 2, false).Status == 200;
   });
   waitUntil(seconds(10), [&] { return served > 5; });
   ToolResult result = Fleet.ctl({"--wait", "key", "withdraw", "second"});
   CallerResponse after = complete(2, key, Names.Model, "after", 2, false);
-  isOver = true;
+  isStopping = true;
   traffic.join();
   step("key withdrawn during traffic", "in force, then 401",
-       result.Out + say(after), result.Code == 0 && after.Status == 401);
+       result.Out + describe(after), result.Code == 0 && after.Status == 401);
 }
 
-void Demo::breakThings() {
-  ToolResult where = Fleet.ctl({"replicas"});
-  size_t at = where.Out.find(Names.Model + " on engine-");
+void Demo::causeFailures() {
+  ToolResult replicas = Fleet.ctl({"replicas"});
+  size_t at = replicas.Out.find(Names.Model + " on engine-");
   std::string engine =
-      where.Out.substr(at + Names.Model.size() + 4, std::strlen("engine-1"));
+      replicas.Out.substr(at + Names.Model.size() + 4, std::strlen("engine-1"));
   Fleet.kill(engine + "-endpoint");
-  CallerResponse moved =
+  CallerResponse failover =
       complete(1, Key, Names.Model, "after a kill", 10, true);
-  step("engine killed", "200 from another", say(moved) + " after " + engine,
-       moved.Status == 200 && moved.IsComplete);
-  std::string old = Fleet.leader();
-  Fleet.kill(old);
+  step("engine killed", "200 from another engine",
+       describe(failover) + " after killing " + engine,
+       failover.Status == 200 && failover.IsComplete);
+  std::string oldLeader = Fleet.leader();
+  Fleet.kill(oldLeader);
   CallerResponse during =
       complete(2, Key, Names.Model, "leader is gone", 10, true);
-  step("control leader killed, warm model", "200 whole", say(during),
+  step("control leader killed, warm model", "200 complete", describe(during),
        during.Status == 200 && during.IsComplete);
   CallerResponse cold =
       complete(1, Key, Names.OtherModel, "new leader", 10, true);
-  step("cold model under the new leader", "200 whole",
-       say(cold) + ", was " + old + ", is " + Fleet.leader(),
+  step("cold model with a new leader", "200 complete",
+       describe(cold) + ", leader was " + oldLeader + ", is now " +
+           Fleet.leader(),
        cold.Status == 200 && cold.IsComplete);
 }
 
-void Demo::inspect() {
-  std::string found;
+void Demo::checkEndpointState() {
+  std::string violations;
   for (const std::string &it : Fleet.running()) {
     if (it.find("-endpoint") == std::string::npos)
       continue;
     CallerResponse state =
         callHttp(Fleet.httpAddressOf(it), {"GET", "/admin/state", {}, {}});
-    bool isClean =
+    bool hasNoViolation =
         state.Body.find("\"overcommits\":0,\"keys_seen\":0,\"strays\":0") !=
         std::string::npos;
-    if (!isClean)
-      found += it + " " + state.Body;
+    if (!hasNoViolation)
+      violations += it + " " + state.Body;
   }
-  step("endpoints' own records", "no key, no overcommit, no stray request",
-       found.empty() ? "none" : found, found.empty());
+  step("endpoint state",
+       "no API key, overcommit or request for an unloaded model",
+       violations.empty() ? "none" : violations, violations.empty());
 }
 
 void Demo::stopFleet() {
-  std::string unclean;
+  std::string failedExits;
   for (const std::string &it : Fleet.running())
     if (it.find("-endpoint") == std::string::npos && it != "store")
       Fleet.signal(it, SIGTERM);
   for (const std::string &it : Fleet.running())
     if (it.find("-endpoint") == std::string::npos && it != "store" &&
         Fleet.waitForExit(it, seconds(15)) != 0)
-      unclean += it + " ";
-  step("graceful stop", "every process ends with 0",
-       unclean.empty() ? "all did" : unclean, unclean.empty());
+      failedExits += it + " ";
+  step("graceful stop", "every process exits with code 0",
+       failedExits.empty() ? "all with code 0" : failedExits,
+       failedExits.empty());
 }
 
 int Demo::run() {
   startFleet();
   serveModels();
   serveService();
-  refuse();
-  withdraw();
-  breakThings();
-  inspect();
+  causeRefusals();
+  withdrawKey();
+  causeFailures();
+  checkEndpointState();
   stopFleet();
-  std::printf("demo: %d of %d steps as expected\n", Good, Steps);
-  return Good == Steps ? 0 : 1;
+  std::printf("demo: %d of %d steps as expected\n", Passed, Steps);
+  return Passed == Steps ? 0 : 1;
 }
 
 } // namespace
 
-int main(int Count, char **Words) {
-  return Demo(sampleOf(Count > 1 ? Words[1] : "bloomline")).run();
+int main(int Count, char **Arguments) {
+  return Demo(sampleNamesOf(Count > 1 ? Arguments[1] : "bloomline")).run();
 }
--- a/tests/harness/slopes.cpp
+++ b/tests/harness/slopes.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Measures what one process of each role costs, at rest and by size, and
-/// prints the slopes that docs/CAPACITY.md is computed from.
+/// Measures the resource usage of one process of each role, idle and by fleet
+/// size, and prints the slopes from which docs/CAPACITY.md is computed.
 #include "fleet/table.h"
 #include "http/address.h"
 #include "tests/harness/process_fleet.h"
@@ -19,9 +19,9 @@
 
 namespace {
 
-constexpr seconds RestTime{6};
+constexpr seconds IdleTime{6};
 
-/// What /proc and the counters say of one process.
+/// Resource usage of one process from /proc and its metrics.
 struct Usage {
   double MemoryMb = 0;
   double CpuSeconds = 0;
@@ -50,32 +50,32 @@
   return usage;
 }
 
-/// Prints what each process uses over a time without callers.
-void measureRest(ProcessFleet &Fleet, const char *Size, double Value) {
+/// Prints the usage of each process over IdleTime without callers.
+void measureIdle(ProcessFleet &Fleet, const char *Size, double Value) {
   std::string leader = Fleet.leader();
   std::string follower = leader == "control-1" ? "control-2" : "control-1";
-  struct Watched {
+  struct MonitoredProcess {
     const char *Role;
     std::string Process;
   };
-  const Watched roles[] = {{"leader", leader},
-                           {"follower", follower},
-                           {"entry", "entry-1"},
-                           {"agent", "engine-1"}};
+  const MonitoredProcess roles[] = {{"leader", leader},
+                                    {"follower", follower},
+                                    {"entry", "entry-1"},
+                                    {"agent", "engine-1"}};
   std::map<std::string, Usage> before;
-  for (const Watched &it : roles)
+  for (const MonitoredProcess &it : roles)
     before[it.Process] = usageOf(Fleet, it.Process);
-  std::this_thread::sleep_for(RestTime);
-  for (const Watched &it : roles) {
+  std::this_thread::sleep_for(IdleTime);
+  for (const MonitoredProcess &it : roles) {
     Usage after = usageOf(Fleet, it.Process);
-    const Usage &first = before[it.Process];
-    auto span = static_cast<double>(RestTime.count());
+    const Usage &initial = before[it.Process];
+    auto span = static_cast<double>(IdleTime.count());
     std::printf("rest %-8s %-8s %7.0f memory_mb %6.1f cpu_percent %5.2f "
                 "sent_bytes_s %7.0f sent_messages_s %5.1f\n",
                 it.Role, Size, Value, after.MemoryMb,
-                (after.CpuSeconds - first.CpuSeconds) / span * 100,
-                (after.SentBytes - first.SentBytes) / span,
-                (after.SentMessages - first.SentMessages) / span);
+                (after.CpuSeconds - initial.CpuSeconds) / span * 100,
+                (after.SentBytes - initial.SentBytes) / span,
+                (after.SentMessages - initial.SentMessages) / span);
   }
   std::fflush(stdout);
 }
@@ -100,7 +100,8 @@
     std::printf("table of %d rows failed: %s\n", Rows, put.Errors.c_str());
 }
 
-/// Requests a second of some callers for a time.
+/// Returns the requests per second that \p Callers concurrent callers get
+/// served with status 200 over \p Span.
 double measureRate(const std::string &Address, const HttpRequest &Request,
                    int Callers, seconds Span) {
   std::atomic<int> served{0};
@@ -117,17 +118,18 @@
   return served / static_cast<double>(Span.count());
 }
 
-void measurePath(ProcessFleet &Fleet, const std::string &Key) {
+void measureProxying(ProcessFleet &Fleet, const std::string &Key) {
   HttpRequest request{"GET", "/crew/x", {{"x-api-key", Key}}, {}};
-  std::string direct = Fleet.httpAddressOf("service-1-endpoint");
+  std::string directAddress = Fleet.httpAddressOf("service-1-endpoint");
   for (int callers : {1, 4, 8}) {
-    double ours =
+    double proxiedRate =
         measureRate(Fleet.entryAddress(1), request, callers, seconds(3));
-    double bare = measureRate(direct, request, callers, seconds(3));
+    double directRate =
+        measureRate(directAddress, request, callers, seconds(3));
     std::printf("path callers %d through_s %.0f direct_s %.0f ratio %.2f "
                 "added_ms %.2f\n",
-                callers, ours, bare, ours / bare,
-                1000.0 * callers * (1 / ours - 1 / bare));
+                callers, proxiedRate, directRate, proxiedRate / directRate,
+                1000.0 * callers * (1 / proxiedRate - 1 / directRate));
   }
   Usage entryBefore = usageOf(Fleet, "entry-1");
   Usage agentBefore = usageOf(Fleet, "engine-1");
@@ -174,17 +176,17 @@
     fleet.leader();
     putRows(fleet, 0);
     std::this_thread::sleep_for(seconds(4));
-    measureRest(fleet, "agents", engines + 1);
+    measureIdle(fleet, "agents", engines + 1);
     if (engines != 1)
       continue;
     for (int rows : {1000, 4000, 10000}) {
       putRows(fleet, rows);
       std::this_thread::sleep_for(seconds(2));
-      measureRest(fleet, "rows", rows);
+      measureIdle(fleet, "rows", rows);
     }
     putRows(fleet, 0);
     std::string key = fleet.grantKey("alpha", "first");
-    measurePath(fleet, key);
+    measureProxying(fleet, key);
     measureIdleConnections(fleet);
   }
 }
