--- a/tests/fleet_run/fleet_driver.cpp
+++ b/tests/fleet_run/fleet_driver.cpp
@@ -14,28 +14,28 @@
 constexpr Millis TickPeriod{25};
 constexpr Millis AnnouncePeriod{200};
 constexpr uint64_t EngineMemory = 1000;
-/// Bounds from the stated targets.
+/// Upper bounds from the stated targets.
 constexpr Millis WithdrawBound{5000};
 constexpr Millis LeaveBound{5000};
 constexpr const char *OperatorName = "operator";
 
-std::string numbered(const char *Kind, int Number) {
+std::string nodeName(const char *Kind, int Number) {
   return std::string(Kind) + "-" + std::to_string(Number);
 }
 
-/// Tokens that an answer uses, out of those charged for it.
-uint64_t usedBy(const CallerRequest &Request) {
+/// Returns the tokens that the response uses, at most those charged for it.
+uint64_t tokensUsedBy(const CallerRequest &Request) {
   return Request.Cost == 0 ? 0 : checksumOf(Request.Body) % Request.Cost + 1;
 }
 
-std::string answerTo(const CallerRequest &Request) {
+std::string responseTo(const CallerRequest &Request) {
   return "answer to " + Request.Body +
-         " {\"total_tokens\":" + std::to_string(usedBy(Request)) + "}";
+         " {\"total_tokens\":" + std::to_string(tokensUsedBy(Request)) + "}";
 }
 
 } // namespace
 
-std::vector<wire::TableRow> runTable() {
+std::vector<wire::TableRow> testTableRows() {
   const char *csv = "kind,name,base,memory_mb,max_replicas,weight,rate,burst,"
                     "longest_wait_s,path,repeatable,repeat_window_s\n"
                     "organisation,alpha,,,,2,100,400,,,,\n"
@@ -57,16 +57,16 @@
     ControlNode &node = Controls[it];
     node.Name = it;
     node.Disk.Identity = Random();
-    bootControl(node);
+    startControl(node);
   }
   for (int i = 1; i <= Options.Entries; ++i) {
-    std::string name = numbered("entry", i);
+    std::string name = nodeName("entry", i);
     Entries[name].Name = name;
     Processes[name] = {};
     restart(name);
   }
   for (int i = 1; i <= Options.Engines + 1; ++i) {
-    std::string name = numbered("engine", i);
+    std::string name = nodeName("engine", i);
     Agents[name].Name = name;
     Agents[name].IsService = i > Options.Engines;
     Processes[name] = {};
@@ -77,20 +77,20 @@
     tick(name);
 }
 
-bool FleetDriver::chance(double Share) {
-  return std::uniform_real_distribution<double>(0, 1)(Random) < Share;
+bool FleetDriver::chance(double Probability) {
+  return std::uniform_real_distribution<double>(0, 1)(Random) < Probability;
 }
 
-Millis FleetDriver::between(int64_t Least, int64_t Most) {
-  return Millis(std::uniform_int_distribution<int64_t>(Least, Most)(Random));
+Millis FleetDriver::randomMillis(int64_t Min, int64_t Max) {
+  return Millis(std::uniform_int_distribution<int64_t>(Min, Max)(Random));
 }
 
-void FleetDriver::after(Millis Wait, std::function<void()> Action) {
-  Queue.emplace(Now + Wait, std::move(Action));
+void FleetDriver::after(Millis Delay, std::function<void()> Action) {
+  Queue.emplace(Now + Delay, std::move(Action));
 }
 
-void FleetDriver::run(Millis Span) {
-  TimePoint end = Now + Span;
+void FleetDriver::run(Millis Duration) {
+  TimePoint end = Now + Duration;
   while (Violation.empty() && !Queue.empty() && Queue.begin()->first <= end) {
     auto next = Queue.begin();
     Now = next->first;
@@ -104,7 +104,7 @@
 void FleetDriver::fail(const std::string &What) {
   if (Violation.empty())
     Violation =
-        What + " at " +
+        What + " at simulated time (ms) " +
         std::to_string(toMillis(Now - TimePoint() - std::chrono::hours(1)));
 }
 
@@ -119,7 +119,7 @@
   drainInbox(Node);
 }
 
-/// What a process received while it was frozen waits in order.
+/// Executes in order what a process received while it was frozen.
 void FleetDriver::drainInbox(const std::string &Node) {
   ProcessState &process = Processes[Node];
   while (process.IsUp && process.FrozenUntil <= Now && !process.Inbox.empty()) {
@@ -129,7 +129,7 @@
   }
 }
 
-void FleetDriver::bootControl(ControlNode &Node) {
+void FleetDriver::startControl(ControlNode &Node) {
   RaftSelf self{Node.Name, Node.Disk.Identity, Node.Name};
   std::vector<std::string> seeds{"control-1", "control-2", "control-3"};
   RaftState raft =
@@ -151,7 +151,7 @@
   Processes[Node].FrozenUntil = TimePoint();
   Processes[Node].Inbox.clear();
   for (auto &[id, caller] : Callers)
-    if (caller.Entry == Node && caller.Ends == 0)
+    if (caller.Entry == Node && caller.OutcomeCount == 0)
       caller.IsLost = true;
 }
 
@@ -162,7 +162,7 @@
   NewestView.erase(Node);
   std::vector<std::string> controls{"control-1", "control-2", "control-3"};
   if (Controls.contains(Node)) {
-    bootControl(Controls[Node]);
+    startControl(Controls[Node]);
   } else if (Entries.contains(Node)) {
     EntryState &state = Entries[Node].State = EntryState();
     state.Options = {Node, "zone"};
@@ -184,20 +184,20 @@
   Controls[Node].Disk.Identity = Random();
 }
 
-void FleetDriver::freeze(const std::string &Node, Millis Span) {
+void FleetDriver::freeze(const std::string &Node, Millis Duration) {
   TimePoint &until = Processes[Node].FrozenUntil;
-  until = std::max(until, Now + Span);
+  until = std::max(until, Now + Duration);
 }
 
-void FleetDriver::cut(const std::string &From, const std::string &To,
-                      Millis Span) {
-  Cuts[{From, To}] = Now + Span;
+void FleetDriver::cutLink(const std::string &From, const std::string &To,
+                          Millis Duration) {
+  CutLinks[{From, To}] = Now + Duration;
 }
 
-void FleetDriver::isolate(const std::string &Node, Millis Span) {
+void FleetDriver::isolate(const std::string &Node, Millis Duration) {
   for (const auto &[name, process] : Processes) {
-    cut(Node, name, Span);
-    cut(name, Node, Span);
+    cutLink(Node, name, Duration);
+    cutLink(name, Node, Duration);
   }
 }
 
@@ -211,9 +211,9 @@
   after(DownTime, [this, Node] { Agents[Node].Engine.IsUp = true; });
 }
 
-void FleetDriver::leaveEngine(const std::string &Node) {
+void FleetDriver::startLeaving(const std::string &Node) {
   Agents[Node].Engine.IsLeaving = true;
-  LeftAt[Node] = Now;
+  LeavingSince[Node] = Now;
 }
 
 void FleetDriver::tick(const std::string &Node) {
@@ -234,8 +234,8 @@
 
 bool FleetDriver::isReachable(const std::string &From,
                               const std::string &To) const {
-  auto it = Cuts.find({From, To});
-  return it == Cuts.end() || it->second <= Now;
+  auto it = CutLinks.find({From, To});
+  return it == CutLinks.end() || it->second <= Now;
 }
 
 void FleetDriver::transmit(const std::string &From, const std::string &To,
@@ -245,13 +245,13 @@
   uint64_t incarnation =
       Processes.contains(From) ? Processes[From].Incarnation : 1;
   Message.set_incarnation(incarnation);
-  int copies = !IsNetworkCalm && chance(Options.Loss) ? 0 : 1;
-  copies += !IsNetworkCalm && chance(Options.Doubling);
+  int copies = !IsNetworkReliable && chance(Options.LossProbability) ? 0 : 1;
+  copies += !IsNetworkReliable && chance(Options.DuplicationProbability);
   for (int i = 0; i < copies; ++i) {
-    // Now and then a message is held up for seconds.
-    Millis delay = !IsNetworkCalm && chance(0.003)
-                       ? between(100, 4000)
-                       : between(0, Options.MaxDelay.count());
+    // A few messages are delayed by up to 4 s.
+    Millis delay = !IsNetworkReliable && chance(0.003)
+                       ? randomMillis(100, 4000)
+                       : randomMillis(0, Options.MaxDelay.count());
     after(delay, [this, From, To, Message] { deliver(To, From, Message); });
   }
 }
@@ -261,14 +261,15 @@
   if (!isReachable(From, To))
     return;
   if (To == OperatorName) {
-    takeOperatorReply(Message);
+    handleOperatorReply(Message);
     return;
   }
-  whenAwake(To,
-            [this, To, message = std::move(Message)] { give(To, message); });
+  whenAwake(
+      To, [this, To, message = std::move(Message)] { dispatch(To, message); });
 }
 
-void FleetDriver::give(const std::string &Node, const wire::Envelope &Message) {
+void FleetDriver::dispatch(const std::string &Node,
+                           const wire::Envelope &Message) {
   if (Controls.contains(Node))
     stepOf(Controls[Node], ControlReceived{Message});
   else if (Entries.contains(Node))
@@ -304,15 +305,15 @@
 
 void FleetDriver::stepOf(ControlNode &Node, const ControlEvent &Event) {
   ++StepCount;
-  // A crash may come between any two effects.
-  bool isCrashing = !IsNetworkCalm && chance(0.00005);
+  // A control member can crash between any two effects.
+  bool isCrashing = !IsNetworkReliable && chance(0.00005);
   auto effects = stepControl(Node.State, Event, Now);
-  followNewest(Node);
+  updateNewestState(Node);
   for (ControlEffect &it : effects) {
     if (isCrashing && chance(0.3)) {
       kill(Node.Name);
       std::string name = Node.Name;
-      after(between(100, 3000), [this, name] { restart(name); });
+      after(randomMillis(100, 3000), [this, name] { restart(name); });
       return;
     }
     persist(Node.Disk, it);
@@ -331,30 +332,30 @@
   return nullptr;
 }
 
-const FleetState &FleetDriver::newestFleet() const { return Newest; }
+const FleetState &FleetDriver::newestFleet() const { return NewestState; }
 
-void FleetDriver::followNewest(const ControlNode &Node) {
+void FleetDriver::updateNewestState(const ControlNode &Node) {
   const FleetState &fleet = Node.State.Fleet;
-  while (Newest.Version < fleet.Version) {
-    uint64_t index = Newest.Version + 1;
+  while (NewestState.Version < fleet.Version) {
+    uint64_t index = NewestState.Version + 1;
     if (index <= Node.State.Raft.SnapshotIndex) {
-      Newest = fleet;
+      NewestState = fleet;
       return;
     }
-    applyCommand(Newest, entryAt(Node.State.Raft, index).command(), index);
+    applyCommand(NewestState, entryAt(Node.State.Raft, index).command(), index);
   }
 }
 
 void FleetDriver::propose(const std::string &OperationId,
                           wire::Command Command) {
   Command.set_operation_id(OperationId);
-  OpenOperations[OperationId] = Command;
+  PendingOperations[OperationId] = Command;
   resend(OperationId);
 }
 
 void FleetDriver::resend(const std::string &OperationId) {
-  auto open = OpenOperations.find(OperationId);
-  if (open == OpenOperations.end())
+  auto open = PendingOperations.find(OperationId);
+  if (open == PendingOperations.end())
     return;
   wire::Envelope message;
   message.mutable_proposal()->set_request_id(OperationId);
@@ -364,29 +365,29 @@
   after(Millis(400), [this, OperationId] { resend(OperationId); });
 }
 
-void FleetDriver::takeOperatorReply(const wire::Envelope &Message) {
+void FleetDriver::handleOperatorReply(const wire::Envelope &Message) {
   const wire::ProposalReply &reply = Message.proposal_reply();
-  bool isOpen = reply.status() == wire::PROPOSAL_NOT_LEADER ||
-                reply.status() == wire::PROPOSAL_OVERLOADED;
-  auto it = OpenOperations.find(reply.request_id());
-  if (isOpen)
+  bool isRetryable = reply.status() == wire::PROPOSAL_NOT_LEADER ||
+                     reply.status() == wire::PROPOSAL_OVERLOADED;
+  auto it = PendingOperations.find(reply.request_id());
+  if (isRetryable)
     return;
   auto known = OperationReplies.find(reply.request_id());
   if (known != OperationReplies.end()) {
-    // A resend must get the first answer.
+    // A resent operation must get the same reply as the first one.
     if (known->second.status() != reply.status() ||
         known->second.version() != reply.version())
-      fail("operation " + reply.request_id() + " was answered twice, apart");
+      fail("operation " + reply.request_id() + " got two different replies");
     return;
   }
-  if (it == OpenOperations.end())
+  if (it == PendingOperations.end())
     return;
   OperationReplies[reply.request_id()] = reply;
   RepliedAt[reply.request_id()] = Now;
   if (it->second.has_key_withdraw() &&
       reply.status() == wire::PROPOSAL_ACCEPTED)
     WithdrawnAt[it->second.key_withdraw().key_id()] = Now;
-  OpenOperations.erase(it);
+  PendingOperations.erase(it);
 }
 
 void FleetDriver::putTable(const std::string &OperationId, uint64_t Base,
@@ -398,11 +399,12 @@
   propose(OperationId, std::move(command));
 }
 
-void FleetDriver::grantKey(const std::string &Id, const std::string &Tenant) {
+void FleetDriver::grantKey(const std::string &Id,
+                           const std::string &Organisation) {
   wire::Command command;
   command.mutable_key_grant()->set_key_id(Id);
   command.mutable_key_grant()->set_key_hash("hash of " + Id);
-  command.mutable_key_grant()->set_tenant(Tenant);
+  command.mutable_key_grant()->set_tenant(Organisation);
   propose("grant " + Id, std::move(command));
 }
 
@@ -427,7 +429,7 @@
   record.Request.Row = Row;
   record.Request.Cost = Cost;
   record.KeyId = KeyId;
-  record.Tenant = KeyId.substr(0, KeyId.find(':'));
+  record.Organisation = KeyId.substr(0, KeyId.find(':'));
   record.Entry = Entry;
   record.Sent = Now;
   record.IsRepeatable = !Row.empty();
@@ -450,8 +452,8 @@
 }
 
 void FleetDriver::finish(const std::string &Id) {
-  if (++Callers[Id].Ends > 1)
-    fail("request " + Id + " ended twice");
+  if (++Callers[Id].OutcomeCount > 1)
+    fail("request " + Id + " has more than one outcome");
 }
 
 void FleetDriver::stepOf(EntryNode &Node, const EntryEvent &Event) {
@@ -463,22 +465,23 @@
     } else if (auto *head = std::get_if<AnswerHead>(&it)) {
       Callers[head->Id].HasHead = true;
     } else if (auto *body = std::get_if<AnswerBody>(&it)) {
-      Callers[body->Id].Got += body->Bytes;
+      Callers[body->Id].ReceivedBody += body->Bytes;
     } else if (auto *end = std::get_if<AnswerEnd>(&it)) {
       finish(end->Id);
       CallerRecord &caller = Callers[end->Id];
-      caller.IsAnswered = true;
+      caller.HasResponse = true;
       for (Charge &charge : Charges)
         if (charge.Request == end->Id)
-          charge.Tokens = static_cast<double>(usedBy(caller.Request));
-      if (caller.Got != answerTo(caller.Request))
-        fail("request " + end->Id + " got a wrong answer: " + caller.Got);
+          charge.Tokens = static_cast<double>(tokensUsedBy(caller.Request));
+      if (caller.ReceivedBody != responseTo(caller.Request))
+        fail("request " + end->Id +
+             " got a wrong response body: " + caller.ReceivedBody);
     } else if (auto *refusal = std::get_if<AnswerRefusal>(&it)) {
       finish(refusal->Id);
       CallerRecord &caller = Callers[refusal->Id];
-      caller.Why = refusal->Why;
+      caller.ReceivedRefusal = refusal->Why;
       if (refusal->Why.Ran == RanState::NotRun && caller.Runs > 0)
-        fail("request " + refusal->Id + " ran but is said not to have run");
+        fail("request " + refusal->Id + " ran but was refused as not run");
     } else if (auto *broken = std::get_if<AnswerAbort>(&it)) {
       finish(broken->Id);
     }
@@ -492,7 +495,7 @@
 // ---- Agents and engines ----
 
 void FleetDriver::announce(const std::string &Node) {
-  after(AnnouncePeriod + between(0, 50), [this, Node] { announce(Node); });
+  after(AnnouncePeriod + randomMillis(0, 50), [this, Node] { announce(Node); });
   AgentNode &node = Agents[Node];
   if (!node.Engine.IsUp)
     return;
@@ -502,8 +505,8 @@
   report.IsLeaving = node.Engine.IsLeaving;
   for (const auto &[name, row] : node.Engine.Rows)
     (row.IsLoading ? report.Loading : report.Loaded).insert(name);
-  // Reports come late.
-  after(between(0, 300), [this, Node, report] {
+  // Reports arrive delayed.
+  after(randomMillis(0, 300), [this, Node, report] {
     if (Agents[Node].Engine.Incarnation == report.Incarnation)
       whenAwake(Node, [this, Node, report] {
         if (Agents[Node].Engine.Incarnation == report.Incarnation)
@@ -526,7 +529,7 @@
   else if (auto *start = std::get_if<StartExchange>(&Effect))
     startEngineRun(Node, *start);
   else if (auto *order = std::get_if<GiveOrder>(&Effect))
-    obeyOrder(Node, *order);
+    executeOrder(Node, *order);
 }
 
 void FleetDriver::startEngineRun(AgentNode &Node, const StartExchange &Start) {
@@ -540,9 +543,11 @@
     });
     return;
   }
-  // A new engine process answers for itself until its agent knows of it.
-  bool isStranger = Node.State.Endpoint.Incarnation != Node.Engine.Incarnation;
-  if (isStranger && !Node.IsService) {
+  // A restarted engine responds with 404 until its agent knows the new
+  // incarnation.
+  bool isUnknownIncarnation =
+      Node.State.Endpoint.Incarnation != Node.Engine.Incarnation;
+  if (isUnknownIncarnation && !Node.IsService) {
     after(Millis(1), [this, name, key] {
       whenAwake(name, [this, name, key] {
         stepOf(Agents[name], EndpointHead{key, 404, {}});
@@ -553,19 +558,19 @@
   CallerRecord &caller = Callers[key.RequestId];
   ++caller.Runs;
   if (!caller.IsRepeatable &&
-      ++RunsOfBody[caller.Tenant + " " + caller.Request.Body] > 1)
-    fail("charge ran twice: " + caller.Request.Body);
+      ++RunsByBody[caller.Organisation + " " + caller.Request.Body] > 1)
+    fail("request that must not repeat ran twice: " + caller.Request.Body);
   auto withdrawn = WithdrawnAt.find(caller.KeyId);
   if (withdrawn != WithdrawnAt.end() && Now - withdrawn->second > WithdrawBound)
-    fail("request ran long after its key was withdrawn");
-  auto left = LeftAt.find(Node.Name);
-  if (left != LeftAt.end() && Now - left->second > LeaveBound)
-    fail("request ran at an endpoint that left long ago");
+    fail("request ran more than 5 s after its key was withdrawn");
+  auto left = LeavingSince.find(Node.Name);
+  if (left != LeavingSince.end() && Now - left->second > LeaveBound)
+    fail("request ran on an endpoint more than 5 s after it began to leave");
   if (!Node.IsService && !Node.Engine.Rows.contains(Start.Request.row()))
     fail("request reached an engine that does not hold its row");
   uint64_t engine = Node.Engine.Incarnation;
   uint64_t agent = Processes[name].Incarnation;
-  std::string answer = answerTo(caller.Request);
+  std::string answer = responseTo(caller.Request);
   auto pass = [this, name, engine, agent](const AgentEvent &Event) {
     whenAwake(name, [this, name, engine, agent, Event] {
       if (Processes[name].Incarnation != agent)
@@ -575,10 +580,10 @@
         stepOf(Agents[name], Event);
     });
   };
-  Millis first = between(10, 300);
+  Millis first = randomMillis(10, 300);
   size_t half = answer.size() / 2;
   after(first, [pass, key] { pass(EndpointHead{key, 200, {}}); });
-  if (chance(BreakShare)) {
+  if (chance(FailureProbability)) {
     after(first + Millis(5), [pass, key] { pass(EndpointBroken{key, true}); });
     return;
   }
@@ -591,13 +596,13 @@
   after(first + Millis(10), [pass, key] { pass(EndpointEnd{key}); });
 }
 
-void FleetDriver::obeyOrder(AgentNode &Node, const GiveOrder &Order) {
+void FleetDriver::executeOrder(AgentNode &Node, const GiveOrder &Order) {
   std::string name = Node.Name;
   uint64_t engine = Node.Engine.Incarnation;
   uint64_t agent = Processes[name].Incarnation;
   auto answer = [this, name, engine, agent, Order](bool IsDone) {
-    // The answer of an order may be lost with its connection.
-    bool isAnswered = !chance(BreakShare);
+    // The reply to an order can be lost with its connection.
+    bool isAnswered = !chance(FailureProbability);
     whenAwake(name, [=, this] {
       if (Processes[name].Incarnation == agent &&
           Agents[name].Engine.Incarnation == engine)
@@ -605,47 +610,49 @@
                                        IsDone && isAnswered, isAnswered});
     });
   };
-  after(between(0, 5), [this, name, engine, Order, answer] {
-    FakeEngine &held = Agents[name].Engine;
-    if (!held.IsUp || held.Incarnation != engine)
+  after(randomMillis(0, 5), [this, name, engine, Order, answer] {
+    FakeEngine &target = Agents[name].Engine;
+    if (!target.IsUp || target.Incarnation != engine)
       return;
-    bool isOld = Options.EnginesHonourFences && Order.Number < held.NewestFence;
-    if (isOld) {
+    bool isStale =
+        Options.EnginesHonourFences && Order.Number < target.NewestFence;
+    if (isStale) {
       answer(false);
       return;
     }
-    held.NewestFence = std::max(held.NewestFence, Order.Number);
-    const wire::Replica *decided =
+    target.NewestFence = std::max(target.NewestFence, Order.Number);
+    const wire::Replica *replica =
         findReplica(newestFleet().Items, name, Order.Row);
     if (Order.Kind == OrderKind::Load &&
-        (!decided || decided->fence() != Order.Fence))
-      fail("load of " + Order.Row + " on " + name + " was not decided: order " +
-           std::to_string(Order.Fence) + ", record " +
-           std::to_string(decided ? decided->fence() : 0));
+        (!replica || replica->fence() != Order.Fence))
+      fail("load of " + Order.Row + " on " + name +
+           " does not match the fleet state: order fence " +
+           std::to_string(Order.Fence) + ", recorded fence " +
+           std::to_string(replica ? replica->fence() : 0));
     if (Order.Kind == OrderKind::Unload) {
-      held.Rows.erase(Order.Row);
+      target.Rows.erase(Order.Row);
       answer(true);
       return;
     }
-    if (!held.Rows.contains(Order.Row))
-      held.Rows[Order.Row] = {Order.MemoryMb, true};
-    if (chance(BreakShare)) {
-      held.Rows.erase(Order.Row);
+    if (!target.Rows.contains(Order.Row))
+      target.Rows[Order.Row] = {Order.MemoryMb, true};
+    if (chance(FailureProbability)) {
+      target.Rows.erase(Order.Row);
       answer(false);
       return;
     }
-    after(between(50, 900), [this, name, engine, Order, answer] {
-      FakeEngine &late = Agents[name].Engine;
-      auto row = late.Rows.find(Order.Row);
-      bool isThere = late.Incarnation == engine && row != late.Rows.end();
-      if (isThere)
+    after(randomMillis(50, 900), [this, name, engine, Order, answer] {
+      FakeEngine &current = Agents[name].Engine;
+      auto row = current.Rows.find(Order.Row);
+      bool isHeld = current.Incarnation == engine && row != current.Rows.end();
+      if (isHeld)
         row->second.IsLoading = false;
-      answer(isThere);
+      answer(isHeld);
     });
   });
 }
 
-// ---- Promises ----
+// ---- Invariants ----
 
 void FleetDriver::check() { checkEngines(); }
 
@@ -656,8 +663,8 @@
     const wire::Endpoint *listed = findEndpoint(fleet.Items, name);
     for (const auto &[row, held] : node.Engine.Rows) {
       memory += held.MemoryMb;
-      // What an endpoint held when it was written off is a recorded loss;
-      // when it is listed again, its agent knows what is to go.
+      // Rows that an endpoint held when it was declared dead are a recorded
+      // loss; once it is listed again, its agent knows which rows to unload.
       bool isListed =
           listed && listed->engine_incarnation() == node.Engine.Incarnation &&
           node.State.IsEndpointUp && isConfirmed(node.State.View, Now) &&
@@ -665,7 +672,7 @@
       bool isReported = node.State.Rows.contains(row);
       if (!isListed || !isReported || findReplica(fleet.Items, name, row))
         continue;
-      std::string what = "undecided row on ";
+      std::string what = "row without a replica record on ";
       what += name;
       fail(what);
     }
@@ -684,12 +691,12 @@
                              counts.Cancelled + countHeld(Node.State))
     fail("outcomes of " + Node.Name + " do not add up");
   for (const auto &[id, request] : Node.State.Requests)
-    if (request.Charged > 0 && SeenCharges.insert(id).second)
+    if (request.Charged > 0 && RecordedCharges.insert(id).second)
       Charges.push_back(
           {Now, request.Tenant, id, static_cast<double>(request.Charged)});
   uint64_t &newest = NewestView[Node.Name];
   if (Node.State.View.Version < newest)
-    fail("view of " + Node.Name + " went back");
+    fail("view of " + Node.Name + " went back to an older version");
   newest = Node.State.View.Version;
 }
 
@@ -700,8 +707,8 @@
   CheckedVersion[Node.Name] = fleet.Version;
   auto known = AppliedDigests.find(fleet.Version);
   bool isSeen = known != AppliedDigests.end();
-  // Every member that has applied the same index holds the same state; one
-  // index in four is looked at.
+  // Members that have applied the same index must hold the same state; every
+  // fourth index is checked.
   if (fleet.Version % 4 != 0)
     return;
   wire::Snapshot whole;
@@ -713,8 +720,9 @@
     fail("members differ at index " + std::to_string(fleet.Version));
 }
 
-/// A waiting request is started or refused by its deadline, and an answer has
-/// begun by then or is given up.
+/// Checks that a waiting request is started or refused by its deadline, and
+/// that an attempt has received a response head by its deadline or has been
+/// given up.
 void FleetDriver::checkWaiting(const EntryNode &Node) {
   for (const auto &[id, request] : Node.State.Requests) {
     bool isWaiting = request.Stage == RequestStage::Queued ||
@@ -727,19 +735,20 @@
   }
 }
 
-void FleetDriver::checkSpending(const std::string &Tenant, double Rate,
-                                double Burst) {
+void FleetDriver::checkQuota(const std::string &Organisation, double Rate,
+                             double Burst) {
   double level = Burst;
   TimePoint last;
   for (const Charge &it : Charges) {
-    if (it.Tenant != Tenant)
+    if (it.Organisation != Organisation)
       continue;
     std::chrono::duration<double> passed = it.At - last;
     level = std::min(Burst, level + Rate * passed.count());
     last = it.At;
     level -= it.Tokens;
     if (level < -0.001) {
-      fail("tenant " + Tenant + " spent above its rate and burst");
+      fail("organisation " + Organisation +
+           " used more tokens than its rate and burst allow");
       return;
     }
   }
--- a/tests/fleet_run/fleet_driver.h
+++ b/tests/fleet_run/fleet_driver.h
@@ -1,10 +1,11 @@
 /// \file
-/// Drives the decisions of all roles together in one thread, with a seeded
-/// clock, network and disk, and checks the promises after every step.
+/// Runs the decision logic of all roles together in one thread, with a
+/// simulated clock and a network and disks controlled by one seed, and checks
+/// the invariants after every step.
 ///
-/// Links lose, double, delay and reorder; processes stop, freeze and restart;
-/// disks are lost. Engines are a few lines at the interface: they hold rows
-/// and give back what they were sent.
+/// Links lose, duplicate, delay and reorder messages; processes stop, freeze
+/// and restart; disks are lost. Engines are modelled at the agent's interface
+/// only: they hold rows and echo the body of the request.
 #ifndef SASSAFRAS_TESTS_FLEET_RUN_FLEET_DRIVER_H
 #define SASSAFRAS_TESTS_FLEET_RUN_FLEET_DRIVER_H
 
@@ -22,15 +23,15 @@
 
 struct RunOptions {
   uint64_t Seed = 1;
-  double Loss = 0.02;
-  double Doubling = 0.02;
+  double LossProbability = 0.02;
+  double DuplicationProbability = 0.02;
   Millis MaxDelay{20};
   bool EnginesHonourFences = true;
   int Engines = 3;
   int Entries = 2;
 };
 
-/// Files of one control member.
+/// Persistent state of one control member.
 struct FakeDisk {
   bool IsBlank = true;
   uint64_t Identity = 0;
@@ -66,34 +67,34 @@
   bool IsService = false;
 };
 
-/// What is known of one process whatever its role.
+/// State of one process, independent of its role.
 struct ProcessState {
   bool IsUp = true;
   TimePoint FrozenUntil;
   std::deque<std::function<void()>> Inbox;
-  uint64_t Incarnation = 1; ///< Stands in for the time of its start.
+  uint64_t Incarnation = 1; ///< Start counter, used in place of the start time.
 };
 
-/// A request and what became of it.
+/// A caller request and its outcome.
 struct CallerRecord {
   CallerRequest Request;
-  std::string Tenant;
+  std::string Organisation;
   std::string KeyId;
   std::string Entry;
   TimePoint Sent;
   bool IsRepeatable = true;
-  std::string Got;
+  std::string ReceivedBody;
   bool HasHead = false;
-  int Ends = 0; ///< Terminal outcomes; never more than one.
-  std::optional<Refusal> Why;
-  bool IsAnswered = false;
-  bool IsLost = false; ///< Its entry died.
+  int OutcomeCount = 0; ///< Must not exceed one.
+  std::optional<Refusal> ReceivedRefusal;
+  bool HasResponse = false;
+  bool IsLost = false; ///< The entry was down or failed before the outcome.
   int Runs = 0;
 };
 
 struct Charge {
   TimePoint At;
-  std::string Tenant;
+  std::string Organisation;
   std::string Request;
   double Tokens = 0;
 };
@@ -102,24 +103,27 @@
 public:
   explicit FleetDriver(RunOptions Options);
 
-  /// Runs until \p Span has passed.
-  void run(Millis Span);
-  /// Does \p Action at \p Wait from now.
-  void after(Millis Wait, std::function<void()> Action);
+  /// Advances the simulated time by \p Duration. No further event is executed
+  /// after the first violation.
+  void run(Millis Duration);
+  /// Schedules \p Action after \p Delay of simulated time.
+  void after(Millis Delay, std::function<void()> Action);
   TimePoint now() const { return Now; }
   std::mt19937_64 &random() { return Random; }
-  bool chance(double Share);
-  Millis between(int64_t Least, int64_t Most);
+  /// Returns true with probability \p Probability.
+  bool chance(double Probability);
+  /// Draws a uniformly distributed time, both bounds included.
+  Millis randomMillis(int64_t Min, int64_t Max);
 
   // Faults.
   void kill(const std::string &Node);
   void restart(const std::string &Node);
   void loseDisk(const std::string &Node);
-  void freeze(const std::string &Node, Millis Span);
-  void cut(const std::string &From, const std::string &To, Millis Span);
-  void isolate(const std::string &Node, Millis Span);
+  void freeze(const std::string &Node, Millis Duration);
+  void cutLink(const std::string &From, const std::string &To, Millis Duration);
+  void isolate(const std::string &Node, Millis Duration);
   void crashEngine(const std::string &Node, Millis DownTime);
-  void leaveEngine(const std::string &Node);
+  void startLeaving(const std::string &Node);
 
   // Callers and operators.
   std::string send(const std::string &Entry, const std::string &KeyId,
@@ -130,16 +134,16 @@
   void propose(const std::string &OperationId, wire::Command Command);
   void putTable(const std::string &OperationId, uint64_t Base,
                 const std::vector<wire::TableRow> &Rows);
-  void grantKey(const std::string &Id, const std::string &Tenant);
+  void grantKey(const std::string &Id, const std::string &Organisation);
   void withdrawKey(const std::string &Id);
 
-  /// First broken promise, or empty.
+  /// Description of the first violated invariant, or empty.
   const std::string &violation() const { return Violation; }
-  /// Control member that may propose, or null.
+  /// Returns a control member that is running and may propose, or null.
   ControlNode *leader();
-  /// Everything that any member has ever applied.
+  /// Returns the state at the highest version that any member has applied.
   const FleetState &newestFleet() const;
-  /// Answers to operations by id.
+  /// Final replies to operations, by id.
   std::map<std::string, wire::ProposalReply> OperationReplies;
   std::map<std::string, TimePoint> RepliedAt;
   std::map<std::string, CallerRecord> Callers;
@@ -147,22 +151,30 @@
   std::map<std::string, EntryNode> Entries;
   std::map<std::string, AgentNode> Agents;
   std::map<std::string, ProcessState> Processes;
-  std::map<std::string, TimePoint> WithdrawnAt; ///< Keys, when accepted.
-  std::map<std::string, int> RunsOfBody;        ///< Of charges.
+  /// Time at which the withdrawal of a key was accepted, by key id.
+  std::map<std::string, TimePoint> WithdrawnAt;
+  /// Executions of requests that must not repeat, by organisation and body.
+  std::map<std::string, int> RunsByBody;
   std::vector<Charge> Charges;
   uint64_t StepCount = 0;
-  bool IsNetworkCalm = false; ///< Nothing lost, doubled or held up.
-  double BreakShare = 0.03;   ///< Exchanges and orders that engines break.
-
+  /// No loss, duplication or long delay of messages, and no crash of a control
+  /// member between two effects.
+  bool IsNetworkReliable = false;
+  /// Probability that an engine fails an exchange or a load order, or that the
+  /// reply to an order is lost.
+  double FailureProbability = 0.03;
+
+  /// Records a violated invariant; only the first one is kept.
   void fail(const std::string &What);
-  /// Checks the spending of every tenant against its bucket.
-  void checkSpending(const std::string &Tenant, double Rate, double Burst);
+  /// Checks the token usage of \p Organisation against a bucket of \p Rate
+  /// tokens per second and \p Burst tokens.
+  void checkQuota(const std::string &Organisation, double Rate, double Burst);
 
 private:
   void tick(const std::string &Node);
   void deliver(const std::string &To, const std::string &From,
                wire::Envelope Message);
-  void give(const std::string &Node, const wire::Envelope &Message);
+  void dispatch(const std::string &Node, const wire::Envelope &Message);
   void transmit(const std::string &From, const std::string &To,
                 wire::Envelope Message);
   void stepOf(ControlNode &Node, const ControlEvent &Event);
@@ -171,9 +183,9 @@
   void perform(AgentNode &Node, AgentEffect &Effect);
   void persist(FakeDisk &Disk, const ControlEffect &Effect);
   void startEngineRun(AgentNode &Node, const StartExchange &Start);
-  void obeyOrder(AgentNode &Node, const GiveOrder &Order);
+  void executeOrder(AgentNode &Node, const GiveOrder &Order);
   void announce(const std::string &Node);
-  void takeOperatorReply(const wire::Envelope &Message);
+  void handleOperatorReply(const wire::Envelope &Message);
   void finish(const std::string &Id);
   void check();
   void checkEngines();
@@ -181,33 +193,34 @@
   void checkWaiting(const EntryNode &Node);
   void checkReplication(const ControlNode &Node);
   bool isReachable(const std::string &From, const std::string &To) const;
-  /// Runs \p Action for a node now, or when it thaws.
+  /// Runs \p Action for a node now, or as soon as it is no longer frozen. Drops
+  /// it if the process is down.
   void whenAwake(const std::string &Node, std::function<void()> Action);
   void drainInbox(const std::string &Node);
-  void bootControl(ControlNode &Node);
+  void startControl(ControlNode &Node);
 
   RunOptions Options;
   std::mt19937_64 Random;
   TimePoint Now;
   TimePoint End;
   std::multimap<TimePoint, std::function<void()>> Queue;
-  std::map<std::pair<std::string, std::string>, TimePoint> Cuts;
-  void followNewest(const ControlNode &Node);
-  FleetState Newest;
+  std::map<std::pair<std::string, std::string>, TimePoint> CutLinks;
+  void updateNewestState(const ControlNode &Node);
+  FleetState NewestState;
   void resend(const std::string &OperationId);
-  std::map<std::string, wire::Command> OpenOperations;
+  std::map<std::string, wire::Command> PendingOperations;
   std::map<std::string, uint64_t> CheckedVersion;
-  std::set<std::string> SeenCharges;
-  std::map<std::string, TimePoint> LeftAt;
+  std::set<std::string> RecordedCharges;
+  std::map<std::string, TimePoint> LeavingSince;
   std::map<uint64_t, std::string> AppliedDigests;
   std::map<std::string, uint64_t> NewestView;
   std::string Violation;
   uint64_t Serial = 0;
 };
 
-/// Rows that the runs work with: two tenants, three models, an adapter and a
-/// service that must not repeat.
-std::vector<wire::TableRow> runTable();
+/// Returns the table rows of all runs: two organisations, three models, an
+/// adapter and a service whose requests must not be repeated.
+std::vector<wire::TableRow> testTableRows();
 
 } // namespace sassafras
 
--- a/tests/fleet_run/test_driving.cpp
+++ b/tests/fleet_run/test_driving.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The example of docs/DRIVING.md, run.
+/// Runs the example of docs/DRIVING.md.
 #include "control/control_state.h"
 #include "entry/entry_state.h"
 
@@ -7,7 +7,7 @@
 
 using namespace sassafras;
 
-TEST_CASE("example of the driving page confirms an entry's view") {
+TEST_CASE("example of docs/DRIVING.md confirms an entry's view") {
   TimePoint now = TimePoint() + std::chrono::hours(1);
   ControlState control = makeControl(
       ControlOptions(),
--- a/tests/fleet_run/test_promises.cpp
+++ b/tests/fleet_run/test_promises.cpp
@@ -1,8 +1,8 @@
 /// \file
-/// The promises under seeded faults: all roles' decisions together, every
-/// promise checked after every step.
+/// Fault injection with seeds: runs the decision logic of all roles together
+/// and checks every invariant after every step.
 ///
-/// FLEET_SEEDS sets how many seeds run, FLEET_SEED replays one.
+/// FLEET_SEEDS sets the number of seeds per test case, FLEET_SEED replays one.
 #include "tests/fleet_run/fleet_driver.h"
 
 #include "core/timing.h"
@@ -16,15 +16,15 @@
 namespace {
 
 constexpr Millis InForceBound{7000};
-constexpr Millis FaultTime{20000};
-constexpr Millis QuietTime{22000};
+constexpr Millis FaultDuration{20000};
+constexpr Millis RecoveryDuration{22000};
 
-uint64_t numberFrom(const char *Variable, uint64_t Default) {
+uint64_t readEnvironmentNumber(const char *Variable, uint64_t Default) {
   const char *text = std::getenv(Variable);
   return text ? std::strtoull(text, nullptr, 10) : Default;
 }
 
-/// Which faults a run causes. Each is a share of the fault rounds.
+/// Faults of a run, each with its probability per injection.
 struct FaultMix {
   const char *Name;
   double Kill = 0.25;
@@ -38,41 +38,41 @@
 };
 
 std::string reasonOf(const CallerRecord &Caller) {
-  if (!Caller.Why)
+  if (!Caller.ReceivedRefusal)
     return "no outcome";
-  return std::string(nameOf(Caller.Why->Reason));
+  return std::string(nameOf(Caller.ReceivedRefusal->Reason));
 }
 
-class Chaos {
+class ChaosRun {
 public:
-  Chaos(uint64_t Seed, const FaultMix &Mix)
+  ChaosRun(uint64_t Seed, const FaultMix &Mix)
       : Mix(Mix), Fleet(RunOptions{Seed, 0.02, 0.02, Millis(20),
                                    Mix.EnginesHonourFences}) {}
 
   std::string run() {
     setUp();
-    IsOpen = true;
-    causeFault();
-    callSomeone();
-    operate();
-    Fleet.run(FaultTime);
-    IsOpen = false;
-    heal();
-    Fleet.run(QuietTime);
+    IsInjecting = true;
+    injectFault();
+    sendRandomRequest();
+    submitEdits();
+    Fleet.run(FaultDuration);
+    IsInjecting = false;
+    stopFaults();
+    Fleet.run(RecoveryDuration);
     finalChecks();
     return Fleet.violation();
   }
 
 private:
   void setUp() {
-    Fleet.putTable("first table", 0, runTable());
+    Fleet.putTable("first table", 0, testTableRows());
     awaitReplies(1);
     for (const char *it : {"alpha:1", "alpha:2", "beta:1", "beta:2"})
       Fleet.grantKey(it, std::string(it).substr(0, std::string(it).find(':')));
     awaitReplies(5);
     for (const auto &[id, reply] : Fleet.OperationReplies)
       if (reply.status() != wire::PROPOSAL_ACCEPTED)
-        Fleet.fail("set-up was refused: " + reply.reason());
+        Fleet.fail("setup operation was refused: " + reply.reason());
     Fleet.run(Millis(4000));
   }
 
@@ -80,29 +80,31 @@
     for (int i = 0; i < 200 && Fleet.OperationReplies.size() < Count; ++i)
       Fleet.run(Millis(100));
     if (Fleet.OperationReplies.size() < Count)
-      Fleet.fail("set-up was not answered");
+      Fleet.fail("setup operation got no reply within 20 s");
   }
 
-  std::string anyProcess() {
+  std::string randomProcess() {
     auto it = Fleet.Processes.begin();
     std::advance(
-        it, Fleet.between(0, static_cast<int64_t>(Fleet.Processes.size()) - 1)
-                .count());
+        it,
+        Fleet.randomMillis(0, static_cast<int64_t>(Fleet.Processes.size()) - 1)
+            .count());
     return it->first;
   }
 
-  std::string anyControl() {
-    return "control-" + std::to_string(Fleet.between(1, 3).count());
+  std::string randomControl() {
+    return "control-" + std::to_string(Fleet.randomMillis(1, 3).count());
   }
-  std::string anyEntry() {
-    return "entry-" + std::to_string(Fleet.between(1, 2).count());
+  std::string randomEntry() {
+    return "entry-" + std::to_string(Fleet.randomMillis(1, 2).count());
   }
-  std::string anyEngine() {
-    return "engine-" + std::to_string(Fleet.between(1, 3).count());
+  std::string randomEngine() {
+    return "engine-" + std::to_string(Fleet.randomMillis(1, 3).count());
   }
 
-  /// One disk at a time: the last one lost must be repaired first. A second
-  /// one may go as soon as the repaired member counts.
+  /// Only one disk may be missing at a time. Another one may be lost once all
+  /// members are up and are voters with their current disk, and the leader has
+  /// committed that membership.
   bool mayLoseDisk() {
     ControlNode *leader = Fleet.leader();
     if (!leader)
@@ -119,96 +121,98 @@
     return leader->State.Raft.MembersIndex <= leader->State.Raft.Commit;
   }
 
-  void killAWhile(const std::string &Node) {
+  void killTemporarily(const std::string &Node) {
     if (!Fleet.Processes[Node].IsUp)
       return;
     Fleet.kill(Node);
-    Fleet.after(Fleet.between(50, 4000), [this, Node] {
+    Fleet.after(Fleet.randomMillis(50, 4000), [this, Node] {
       if (!Fleet.Processes[Node].IsUp)
         Fleet.restart(Node);
     });
   }
 
-  void causeFault() {
-    if (!IsOpen)
+  void injectFault() {
+    if (!IsInjecting)
       return;
-    double dice = static_cast<double>(Fleet.between(0, 999).count()) / 1000;
-    auto takes = [&](double Share) {
-      dice -= Share;
-      return dice < 0;
+    double draw =
+        static_cast<double>(Fleet.randomMillis(0, 999).count()) / 1000;
+    auto isSelected = [&](double Probability) {
+      draw -= Probability;
+      return draw < 0;
     };
     bool isControl = Fleet.chance(0.5);
-    std::string node = isControl ? anyControl() : anyProcess();
-    if (takes(Mix.Kill))
-      killAWhile(node);
-    else if (takes(Mix.Freeze))
-      Fleet.freeze(node, Fleet.between(200, 7000));
-    else if (takes(Mix.Isolate))
-      Fleet.isolate(node, Fleet.between(200, 7000));
-    else if (takes(Mix.OneWay))
-      Fleet.cut(node, anyProcess(), Fleet.between(200, 7000));
-    else if (takes(Mix.EngineCrash))
-      Fleet.crashEngine(anyEngine(), Fleet.between(200, 3000));
-    else if (takes(Mix.Leave))
-      Fleet.leaveEngine("engine-3");
-    else if (takes(Mix.DiskLoss) && mayLoseDisk()) {
-      std::string lost = anyControl();
-      Fleet.kill(lost);
-      Fleet.loseDisk(lost);
-      Fleet.after(Fleet.between(50, 2000),
-                  [this, lost] { Fleet.restart(lost); });
+    std::string node = isControl ? randomControl() : randomProcess();
+    if (isSelected(Mix.Kill))
+      killTemporarily(node);
+    else if (isSelected(Mix.Freeze))
+      Fleet.freeze(node, Fleet.randomMillis(200, 7000));
+    else if (isSelected(Mix.Isolate))
+      Fleet.isolate(node, Fleet.randomMillis(200, 7000));
+    else if (isSelected(Mix.OneWay))
+      Fleet.cutLink(node, randomProcess(), Fleet.randomMillis(200, 7000));
+    else if (isSelected(Mix.EngineCrash))
+      Fleet.crashEngine(randomEngine(), Fleet.randomMillis(200, 3000));
+    else if (isSelected(Mix.Leave))
+      Fleet.startLeaving("engine-3");
+    else if (isSelected(Mix.DiskLoss) && mayLoseDisk()) {
+      std::string member = randomControl();
+      Fleet.kill(member);
+      Fleet.loseDisk(member);
+      Fleet.after(Fleet.randomMillis(50, 2000),
+                  [this, member] { Fleet.restart(member); });
     }
-    Fleet.after(Fleet.between(300, 2500), [this] { causeFault(); });
+    Fleet.after(Fleet.randomMillis(300, 2500), [this] { injectFault(); });
   }
 
-  void callSomeone() {
-    if (!IsOpen)
+  void sendRandomRequest() {
+    if (!IsInjecting)
       return;
     const char *keys[] = {"alpha:1", "alpha:2", "beta:1", "beta:2",
                           "alpha:nobody"};
     const char *rows[] = {"m1", "m1", "m2", "m3", "a1"};
-    std::string key = keys[Fleet.between(0, 4).count()];
+    std::string key = keys[Fleet.randomMillis(0, 4).count()];
     if (Fleet.chance(0.1)) {
-      // The same charge again and again, at both entries.
+      // One of 12 bodies, so that the same charge is sent repeatedly and
+      // through both entries.
       std::string body =
-          "charge " + std::to_string(Fleet.between(1, 12).count());
-      Fleet.charge(anyEntry(), key, body);
+          "charge " + std::to_string(Fleet.randomMillis(1, 12).count());
+      Fleet.charge(randomEntry(), key, body);
     } else {
-      auto cost = static_cast<uint64_t>(Fleet.between(5, 60).count());
+      auto cost = static_cast<uint64_t>(Fleet.randomMillis(5, 60).count());
       std::string body = "prompt " + std::to_string(++Serial);
-      Fleet.send(anyEntry(), key, rows[Fleet.between(0, 4).count()], body,
-                 cost);
+      Fleet.send(randomEntry(), key, rows[Fleet.randomMillis(0, 4).count()],
+                 body, cost);
     }
-    Fleet.after(Fleet.between(10, 200), [this] { callSomeone(); });
+    Fleet.after(Fleet.randomMillis(10, 200), [this] { sendRandomRequest(); });
   }
 
-  /// Three operators edit on the version that they have seen.
-  void operate() {
-    if (!IsOpen)
+  /// Three operators submit edits based on the same table version.
+  void submitEdits() {
+    if (!IsInjecting)
       return;
     uint64_t base = Fleet.newestFleet().TableVersion;
     for (int i = 0; i < 3; ++i) {
       std::string id = "edit " + std::to_string(++Serial);
-      auto rows = runTable();
+      auto rows = testTableRows();
       rows[3].set_longest_wait_ms(7000 + Serial);
       Edits[id] = rows[3].longest_wait_ms();
       Fleet.putTable(id, base, rows);
-      watch(id);
+      checkAfterAcceptance(id);
     }
-    if (Fleet.chance(0.3) && !Withdrawn) {
-      Withdrawn = true;
+    if (Fleet.chance(0.3) && !IsKeyWithdrawn) {
+      IsKeyWithdrawn = true;
       Fleet.withdrawKey("beta:2");
-      watch("withdraw beta:2");
+      checkAfterAcceptance("withdraw beta:2");
     }
-    Fleet.after(Fleet.between(1500, 5000), [this] { operate(); });
+    Fleet.after(Fleet.randomMillis(1500, 5000), [this] { submitEdits(); });
   }
 
-  /// Once an operation is accepted, every node that counts on its view must
-  /// have it within the bound.
-  void watch(const std::string &Id) {
+  /// Checks that InForceBound after an operation was accepted every node with
+  /// a confirmed view has applied it.
+  void checkAfterAcceptance(const std::string &Id) {
     auto reply = Fleet.OperationReplies.find(Id);
     if (reply == Fleet.OperationReplies.end()) {
-      Fleet.after(Millis(100), [this, Id] { watch(Id); });
+      Fleet.after(Millis(100), [this, Id] { checkAfterAcceptance(Id); });
       return;
     }
     if (reply->second.status() != wire::PROPOSAL_ACCEPTED)
@@ -225,12 +229,12 @@
   void checkInForce(const std::string &Name, const NodeView &View,
                     const std::string &Id, uint64_t Version) {
     if (isConfirmed(View, Fleet.now()) && View.Version < Version)
-      Fleet.fail(Id + " is not in force at " + Name);
+      Fleet.fail(Id + " was not applied within 7 s at " + Name);
   }
 
-  void heal() {
-    Fleet.BreakShare = 0;
-    Fleet.IsNetworkCalm = true;
+  void stopFaults() {
+    Fleet.FailureProbability = 0;
+    Fleet.IsNetworkReliable = true;
     for (auto &[name, process] : Fleet.Processes) {
       process.FrozenUntil = TimePoint();
       if (!process.IsUp)
@@ -238,45 +242,45 @@
     }
     for (const auto &[from, a] : Fleet.Processes)
       for (const auto &[to, b] : Fleet.Processes)
-        Fleet.cut(from, to, Millis(0));
+        Fleet.cutLink(from, to, Millis(0));
   }
 
   void finalChecks() {
     if (!Fleet.leader())
       Fleet.fail("no leader after the faults ended");
     for (const auto &[id, caller] : Fleet.Callers)
-      if (caller.Ends == 0 && !caller.IsLost)
-        Fleet.fail("request " + id + " never ended");
-    Fleet.checkSpending("alpha", 100, 400);
-    Fleet.checkSpending("beta", 50, 200);
+      if (caller.OutcomeCount == 0 && !caller.IsLost)
+        Fleet.fail("request " + id + " never got an outcome");
+    Fleet.checkQuota("alpha", 100, 400);
+    Fleet.checkQuota("beta", 50, 200);
     checkEdits();
     checkService();
   }
 
   void checkEdits() {
-    std::map<uint64_t, std::string> winners;
+    std::map<uint64_t, std::string> acceptedEdits;
     for (const auto &[id, reply] : Fleet.OperationReplies) {
       if (!Edits.contains(id) || reply.status() != wire::PROPOSAL_ACCEPTED)
         continue;
-      if (!winners.emplace(reply.table_version(), id).second)
-        Fleet.fail("two edits won the same version");
+      if (!acceptedEdits.emplace(reply.table_version(), id).second)
+        Fleet.fail("two edits were accepted for the same table version");
     }
     const FleetState &fleet = Fleet.newestFleet();
-    if (winners.empty())
+    if (acceptedEdits.empty())
       return;
-    auto last = *winners.rbegin();
+    auto last = *acceptedEdits.rbegin();
     const wire::TableRow *row = findRow(fleet.Items, "m2");
     if (fleet.TableVersion < last.first)
-      Fleet.fail("an accepted edit is gone");
+      Fleet.fail("an accepted edit was lost");
     if (fleet.TableVersion == last.first &&
         (!row || row->longest_wait_ms() != Edits[last.second]))
-      Fleet.fail("the table is not the last accepted one");
+      Fleet.fail("the table differs from the last accepted edit");
     bool isGone = !fleet.Items.find(keyItemName("beta:2"));
     if (Fleet.WithdrawnAt.contains("beta:2") && !isGone)
-      Fleet.fail("a withdrawn key is back");
+      Fleet.fail("a withdrawn key is still present");
   }
 
-  /// After the faults a request at each entry is served.
+  /// Checks that each entry serves a request after the faults.
   void checkService() {
     std::vector<std::string> ids;
     for (const char *it : {"entry-1", "entry-2"})
@@ -284,58 +288,58 @@
           Fleet.send(it, "alpha:1", "m1", std::string("last at ") + it, 10));
     Fleet.run(Millis(8500));
     for (const std::string &it : ids)
-      if (!Fleet.Callers[it].IsAnswered)
+      if (!Fleet.Callers[it].HasResponse)
         Fleet.fail("request " + it + " was not served after the faults: " +
                    reasonOf(Fleet.Callers[it]));
   }
 
   FaultMix Mix;
   FleetDriver Fleet;
-  bool IsOpen = false;
-  bool Withdrawn = false;
+  bool IsInjecting = false;
+  bool IsKeyWithdrawn = false;
   uint64_t Serial = 0;
   std::map<std::string, uint64_t> Edits;
 };
 
 void runSeeds(const FaultMix &Mix, uint64_t FirstSeed, uint64_t Count) {
-  uint64_t only = numberFrom("FLEET_SEED", 0);
-  if (only > 0) {
-    FirstSeed = only;
+  uint64_t replayedSeed = readEnvironmentNumber("FLEET_SEED", 0);
+  if (replayedSeed > 0) {
+    FirstSeed = replayedSeed;
     Count = 1;
   }
   for (uint64_t seed = FirstSeed; seed < FirstSeed + Count; ++seed) {
-    std::string violation = Chaos(seed, Mix).run();
+    std::string violation = ChaosRun(seed, Mix).run();
     INFO("replay with FLEET_SEED=" << seed << ", faults: " << Mix.Name);
     CAPTURE(violation);
     REQUIRE(violation.empty());
   }
 }
 
-uint64_t seedsPerCase() { return numberFrom("FLEET_SEEDS", 250); }
+uint64_t seedsPerCase() { return readEnvironmentNumber("FLEET_SEEDS", 250); }
 
 } // namespace
 
-TEST_CASE("promises hold under mixed faults") {
+TEST_CASE("invariants hold under mixed faults") {
   runSeeds({"mixed"}, 1, seedsPerCase());
 }
 
-TEST_CASE("promises hold when engines ignore fencing numbers") {
-  FaultMix mix{"no fences"};
+TEST_CASE("invariants hold when engines ignore fencing tokens") {
+  FaultMix mix{"no fencing"};
   mix.EnginesHonourFences = false;
   runSeeds(mix, 10'001, seedsPerCase());
 }
 
-TEST_CASE("promises hold while control members come and go") {
+TEST_CASE("invariants hold while control members fail and restart") {
   FaultMix mix{"control", 0.35, 0.25, 0.2, 0.05, 0, 0.15, 0};
   runSeeds(mix, 20'001, seedsPerCase());
 }
 
-TEST_CASE("promises hold under cuts and freezes") {
-  FaultMix mix{"cuts", 0.05, 0.35, 0.35, 0.2, 0, 0, 0.05};
+TEST_CASE("invariants hold under network partitions and freezes") {
+  FaultMix mix{"partitions", 0.05, 0.35, 0.35, 0.2, 0, 0, 0.05};
   runSeeds(mix, 30'001, seedsPerCase());
 }
 
-TEST_CASE("promises hold while engines crash") {
+TEST_CASE("invariants hold while engines crash") {
   FaultMix mix{"engines", 0.2, 0.1, 0.1, 0.05, 0.5, 0, 0.05};
   runSeeds(mix, 40'001, seedsPerCase());
 }
