--- a/tests/fleet_run/fleet_driver.cpp
+++ b/tests/fleet_run/fleet_driver.cpp
@@ -281,11 +281,11 @@
 // ---- Control ----
 
 void FleetDriver::persist(FakeDisk &Disk, const ControlEffect &Effect) {
-  if (const auto *whole = std::get_if<PersistSnapshot>(&Effect)) {
+  if (const auto *snapshot = std::get_if<PersistSnapshot>(&Effect)) {
     Disk.IsBlank = false;
-    Disk.Snapshot = whole->Snapshot;
-    Disk.HardState = whole->HardState;
-    Disk.Entries = whole->Entries;
+    Disk.Snapshot = snapshot->Snapshot;
+    Disk.HardState = snapshot->HardState;
+    Disk.Entries = snapshot->Entries;
     return;
   }
   const auto *record = std::get_if<PersistRecord>(&Effect);
@@ -711,9 +711,9 @@
   // fourth index is checked.
   if (fleet.Version % 4 != 0)
     return;
-  wire::Snapshot whole;
-  saveFleet(fleet, whole);
-  std::string digest = std::to_string(checksumOf(whole.SerializeAsString()));
+  wire::Snapshot snapshot;
+  saveFleet(fleet, snapshot);
+  std::string digest = std::to_string(checksumOf(snapshot.SerializeAsString()));
   if (!isSeen)
     AppliedDigests[fleet.Version] = digest;
   else if (known->second != digest)
