--- a/tests/ctl/test_tool.cpp
+++ b/tests/ctl/test_tool.cpp
@@ -55,7 +55,7 @@
       {"explain", {"explain", "plaque-draft"}, 0, "at most 2 replicas"},
       {"explain nothing", {"explain", "nothing"}, 1, "no row"},
       {"check",
-       {"check", fleet.settingsOf("entry-1")},
+       {"check", fleet.settingsPathOf("entry-1")},
        0,
        "settings are valid"},
       {"version", {"--version"}, 0, "sassafrasctl"},
--- a/tests/harness/front_fleet.cpp
+++ b/tests/harness/front_fleet.cpp
@@ -19,8 +19,8 @@
 
 namespace {
 
-constexpr int PortsOfHost = 8;
-/// Host of the engine of a ServedFleet.
+constexpr int PortsPerHost = 8;
+/// Host number of the engine of a ServedFleet.
 constexpr int EngineHost = 50;
 
 std::string readFile(const std::string &Path) {
@@ -36,7 +36,7 @@
   std::string pattern =
       (files::temp_directory_path() / "sassafras-front-XXXXXX").string();
   Folder = mkdtemp(pattern.data());
-  Base = claimPorts(PortsOfHost);
+  BasePort = reservePorts(PortsPerHost);
   for (int i = 1; i <= Size.Fronts; ++i)
     start(i, true);
 }
@@ -56,19 +56,20 @@
   return "agent-" + std::to_string(Host);
 }
 
-std::string FrontFleet::at(int Host, int Port) const {
-  return Net + std::to_string(Host) + ":" + std::to_string(Base + Port);
+std::string FrontFleet::addressOf(int Host, int Port) const {
+  return Subnet + std::to_string(Host) + ":" + std::to_string(BasePort + Port);
 }
 
 void FrontFleet::start(int Host, bool IsNew) {
   std::string name = frontName(Host);
   std::ostringstream toml;
   toml << "role = \"front\"\nfleet = \"test\"\nnode = \"" << name
-       << "\"\nzone = \"a\"\nlisten = \"" << at(Host, 0) << "\"\nhttp = \""
-       << callers(Host) << "\"\n[front_role]\nready = \"" << at(Host, 2)
-       << "\"\ncontrol = \"" << control(Host) << "\"\nseeds = [\"" << control(1)
-       << "\", \"" << control(2) << "\", \"" << control(3)
-       << "\"]\nmay_form = " << (IsNew ? "true" : "false")
+       << "\"\nzone = \"a\"\nlisten = \"" << addressOf(Host, 0)
+       << "\"\nhttp = \"" << callerAddress(Host)
+       << "\"\n[front_role]\nready = \"" << addressOf(Host, 2)
+       << "\"\ncontrol = \"" << controlAddress(Host) << "\"\nseeds = [\""
+       << controlAddress(1) << "\", \"" << controlAddress(2) << "\", \""
+       << controlAddress(3) << "\"]\nmay_form = " << (IsNew ? "true" : "false")
        << "\ndata_folder = \""
        << (Host <= Size.Disks ? Folder + "/" + name + "-data" : "") << "\"\n";
   spawn(name, toml.str());
@@ -77,9 +78,10 @@
 void FrontFleet::startAgent(int Host, const std::string &Engine) {
   std::ostringstream toml;
   toml << "role = \"engine_agent\"\nfleet = \"test\"\nnode = \"agent-" << Host
-       << "\"\nzone = \"a\"\nlisten = \"" << at(Host, 0) << "\"\nhttp = \""
-       << at(Host, 1) << "\"\n[engine_agent_role]\nengine = \"" << Engine
-       << "\"\nseeds = [\"" << control(1) << "\"]\n";
+       << "\"\nzone = \"a\"\nlisten = \"" << addressOf(Host, 0)
+       << "\"\nhttp = \"" << addressOf(Host, 1)
+       << "\"\n[engine_agent_role]\nengine = \"" << Engine << "\"\nseeds = [\""
+       << controlAddress(1) << "\"]\n";
   spawn(agentName(Host), toml.str());
 }
 
@@ -112,33 +114,34 @@
 }
 
 bool FrontFleet::isReady(int Host) const {
-  return callHttp(at(Host, 2), {"GET", "/ready", {}, {}}, seconds(2)).Status ==
-         200;
+  return callHttp(addressOf(Host, 2), {"GET", "/ready", {}, {}}, seconds(2))
+             .Status == 200;
 }
 
 namespace {
 
-/// Follows one redirection to the leader.
-CallerAnswer callLeader(const std::string &Address,
-                        const HttpRequest &Request) {
-  CallerAnswer answer = callHttp(Address, Request, seconds(3));
-  if (answer.Status != 307)
-    return answer;
-  std::string location(fieldOf(answer.Fields, "location"));
+/// Sends a request and follows one redirect to the leader.
+CallerResponse callLeader(const std::string &Address,
+                          const HttpRequest &Request) {
+  CallerResponse response = callHttp(Address, Request, seconds(3));
+  if (response.Status != 307)
+    return response;
+  std::string location(fieldOf(response.Fields, "location"));
   std::string leader = location.substr(7, location.find('/', 7) - 7);
   return callHttp(leader, Request, seconds(3));
 }
 
 } // namespace
 
-unsigned FrontFleet::put(int Host, const std::string &Text) const {
-  return callLeader(control(Host), {"POST", "/Config.Put", {}, Text}).Status;
+unsigned FrontFleet::putTable(int Host, const std::string &Text) const {
+  return callLeader(controlAddress(Host), {"POST", "/Config.Put", {}, Text})
+      .Status;
 }
 
 std::string FrontFleet::readTable(int Host) const {
-  CallerAnswer answer =
-      callLeader(control(Host), {"GET", "/Config.Get", {}, {}});
-  return answer.Status == 200 ? answer.Body : std::string();
+  CallerResponse response =
+      callLeader(controlAddress(Host), {"GET", "/Config.Get", {}, {}});
+  return response.Status == 200 ? response.Body : std::string();
 }
 
 bool FrontFleet::isRunning(const std::string &Process) const {
@@ -159,16 +162,16 @@
   return readFile(logFile(Process));
 }
 
-std::string FrontFleet::settingsOf(const std::string &Process) const {
+std::string FrontFleet::settingsPathOf(const std::string &Process) const {
   return Folder + "/" + Process + ".toml";
 }
 
-ToolResult FrontFleet::ctl(const std::string &Words) const {
-  static std::atomic<int> serial{0};
-  std::string base = Folder + "/ctl-" + std::to_string(serial++);
+ToolResult FrontFleet::ctl(const std::string &Arguments) const {
+  static std::atomic<int> runCount{0};
+  std::string base = Folder + "/ctl-" + std::to_string(runCount++);
   std::string command = std::string(TOOL_PROGRAM) + " --settings " +
-                        settingsOf(frontName(1)) + " " + Words + " >" + base +
-                        ".out 2>" + base + ".err";
+                        settingsPathOf(frontName(1)) + " " + Arguments + " >" +
+                        base + ".out 2>" + base + ".err";
   int state = std::system(command.c_str());
   return {WEXITSTATUS(state), readFile(base + ".out"), readFile(base + ".err")};
 }
@@ -181,27 +184,28 @@
 }
 
 void FrontFleet::spawn(const std::string &Process, const std::string &Toml) {
-  std::string path = settingsOf(Process);
+  std::string path = settingsPathOf(Process);
   std::ofstream(path) << Toml;
   std::string output = logFile(Process);
-  size_t before = log(Process).size();
+  size_t logStart = log(Process).size();
   std::string program = DAEMON_PROGRAM;
   std::string flag = "--settings";
-  char *words[] = {program.data(), flag.data(), path.data(), nullptr};
+  char *arguments[] = {program.data(), flag.data(), path.data(), nullptr};
   posix_spawn_file_actions_t actions;
   posix_spawn_file_actions_init(&actions);
   posix_spawn_file_actions_addopen(&actions, 1, output.c_str(),
                                    O_WRONLY | O_CREAT | O_APPEND, 0600);
   pid_t pid = 0;
-  posix_spawn(&pid, words[0], &actions, nullptr, words, environ);
+  posix_spawn(&pid, arguments[0], &actions, nullptr, arguments, environ);
   posix_spawn_file_actions_destroy(&actions);
   Processes[Process] = pid;
-  bool isUp = waitUntil(seconds(10), [&] {
-    return log(Process).find("event=started ", before) != std::string::npos;
+  bool isStarted = waitUntil(seconds(10), [&] {
+    return log(Process).find("event=started ", logStart) != std::string::npos;
   });
-  if (!isUp)
+  if (!isStarted)
     throw std::runtime_error(Process +
-                             " did not start: " + log(Process).substr(before));
+                             " did not start within 10 s; log output: " +
+                             log(Process).substr(logStart));
 }
 
 std::string tableText(int Version, const std::string &Prefix,
@@ -219,9 +223,11 @@
          std::to_string(RatePerSecond) + R"(,"api-keys":["secret-key"]}]})";
 }
 
-CallerAnswer ask(const std::string &Address, const std::string &Id,
-                 const std::string &Model, const std::string &Key,
-                 const std::string &Path) {
+CallerResponse sendCallerRequest(const std::string &Address,
+                                 const std::string &Id,
+                                 const std::string &Model,
+                                 const std::string &Key,
+                                 const std::string &Path) {
   HttpRequest request{"POST",
                       Path,
                       {{"authorization", "Bearer " + Key},
@@ -234,21 +240,23 @@
 }
 
 ServedFleet::ServedFleet(const std::string &Table)
-    : Engine("i-1", "chat", Fleet.at(EngineHost, 7), {"warm"}, {"cold"}) {
-  Fleet.startAgent(EngineHost, Fleet.at(EngineHost, 7));
-  bool isPut =
-      waitUntil(seconds(15), [&] { return Fleet.put(1, Table) == 200; });
-  if (!isPut)
-    throw std::runtime_error("no front took the table");
+    : Engine("i-1", "chat", Fleet.addressOf(EngineHost, 7), {"warm"},
+             {"cold"}) {
+  Fleet.startAgent(EngineHost, Fleet.addressOf(EngineHost, 7));
+  bool isAccepted =
+      waitUntil(seconds(15), [&] { return Fleet.putTable(1, Table) == 200; });
+  if (!isAccepted)
+    throw std::runtime_error("no front accepted the table within 15 s");
   Announcer = std::thread([this] {
     for (int i = 0; IsAnnouncing; ++i) {
-      Engine.announce(Fleet.control(1 + i % Fleet.fronts()));
+      Engine.announce(Fleet.controlAddress(1 + i % Fleet.frontCount()));
       std::this_thread::sleep_for(Millis(300));
     }
   });
-  for (int i = 1; i <= Fleet.fronts(); ++i)
+  for (int i = 1; i <= Fleet.frontCount(); ++i)
     if (!waitUntil(seconds(10), [&] { return Fleet.isReady(i); }))
-      throw std::runtime_error(FrontFleet::frontName(i) + " is not ready");
+      throw std::runtime_error(FrontFleet::frontName(i) +
+                               " is not ready after 10 s");
 }
 
 void ServedFleet::stopAnnouncing() {
--- a/tests/process/test_fronts.cpp
+++ b/tests/process/test_fronts.cpp
@@ -13,30 +13,34 @@
 
 TEST_CASE("fronts serve streams, keep keys and load cold models") {
   ServedFleet test;
-  for (int i = 1; i <= test.Fleet.fronts(); ++i) {
+  for (int i = 1; i <= test.Fleet.frontCount(); ++i) {
     INFO("front " << i);
     std::string id = "id-" + std::to_string(i);
-    CallerAnswer answer;
+    CallerResponse answer;
     REQUIRE(waitUntil(seconds(10), [&] {
-      answer = ask(test.Fleet.callers(i), id, "warm");
+      answer = sendCallerRequest(test.Fleet.callerAddress(i), id, "warm");
       return answer.Status == 200;
     }));
-    CHECK(answer.IsWhole);
+    CHECK(answer.IsComplete);
     CHECK(answer.Body.find("id: 10\n") != std::string::npos);
     CHECK(fieldOf(answer.Fields, "sassafrasseam-response-seal") == "seal");
   }
-  for (const SeenRequest &it : test.Engine.seen()) {
+  for (const ReceivedRequest &it : test.Engine.receivedRequests()) {
     CHECK(it.Body == "body");
     CHECK(fieldOf(it.Fields, "sassafrasseam-tenant") == "first");
     CHECK(fieldOf(it.Fields, "sassafrasseam-expect-instance") == "i-1");
     for (const HttpField &field : it.Fields)
       CHECK(field.Value.find("secret-key") == std::string::npos);
   }
-  CHECK(ask(test.Fleet.callers(1), "x", "warm", "other").Status == 401);
-  CHECK(ask(test.Fleet.callers(1), "x", "warm", "secret-key", "/q/x").Status ==
-        404);
+  CHECK(sendCallerRequest(test.Fleet.callerAddress(1), "x", "warm", "other")
+            .Status == 401);
+  CHECK(sendCallerRequest(test.Fleet.callerAddress(1), "x", "warm",
+                          "secret-key", "/q/x")
+            .Status == 404);
   size_t orders = test.Engine.countOrders();
-  CHECK(ask(test.Fleet.callers(4), "cold-1", "cold").Status == 200);
+  CHECK(
+      sendCallerRequest(test.Fleet.callerAddress(4), "cold-1", "cold").Status ==
+      200);
   CHECK(test.Engine.countOrders() > orders);
 }
 
@@ -47,52 +51,56 @@
     int killed = version - 1;
     std::string prefix = "/v" + std::to_string(version) + "/";
     REQUIRE(waitUntil(seconds(10), [&] {
-      return test.Fleet.put(4, tableText(version, prefix)) == 200;
+      return test.Fleet.putTable(4, tableText(version, prefix)) == 200;
     }));
     test.Fleet.signal(FrontFleet::frontName(killed), SIGKILL);
     test.Fleet.waitForExit(FrontFleet::frontName(killed), seconds(2));
     test.Fleet.start(killed, false);
-    for (int i = 1; i <= test.Fleet.fronts(); ++i) {
+    for (int i = 1; i <= test.Fleet.frontCount(); ++i) {
       INFO("front " << i << " version " << version);
       CHECK(waitUntil(seconds(10), [&] {
-        return ask(test.Fleet.callers(i), "x", "warm", "secret-key",
-                   prefix + "x")
+        return sendCallerRequest(test.Fleet.callerAddress(i), "x", "warm",
+                                 "secret-key", prefix + "x")
                    .Status == 200;
       }));
     }
   }
-  CHECK(test.Fleet.put(1, "{\"version\":9}") == 400);
-  CHECK(test.Fleet.put(4, "nonsense") == 400);
+  CHECK(test.Fleet.putTable(1, "{\"version\":9}") == 400);
+  CHECK(test.Fleet.putTable(4, "nonsense") == 400);
 }
 
 TEST_CASE("draining endpoint gets no new work from any front") {
   ServedFleet test;
   REQUIRE(waitUntil(seconds(10), [&] {
-    return ask(test.Fleet.callers(4), "before", "warm").Status == 200;
+    return sendCallerRequest(test.Fleet.callerAddress(4), "before", "warm")
+               .Status == 200;
   }));
   test.stopAnnouncing();
-  REQUIRE(test.Engine.announce(test.Fleet.control(2), true));
+  REQUIRE(test.Engine.announce(test.Fleet.controlAddress(2), true));
   std::this_thread::sleep_for(Millis(500));
-  size_t seen = test.Engine.seen().size();
-  for (int i = 1; i <= test.Fleet.fronts(); ++i)
-    CHECK(ask(test.Fleet.callers(i), "after", "warm").Status == 503);
-  CHECK(test.Engine.seen().size() == seen);
+  size_t seen = test.Engine.receivedRequests().size();
+  for (int i = 1; i <= test.Fleet.frontCount(); ++i)
+    CHECK(sendCallerRequest(test.Fleet.callerAddress(i), "after", "warm")
+              .Status == 503);
+  CHECK(test.Engine.receivedRequests().size() == seen);
 }
 
 TEST_CASE("stop lets a running stream end and refuses nothing midway") {
   ServedFleet test;
-  test.Engine.setPace(Millis(300));
+  test.Engine.setEventInterval(Millis(300));
   REQUIRE(waitUntil(seconds(10), [&] {
-    return ask(test.Fleet.callers(4), "first", "warm").Status == 200;
+    return sendCallerRequest(test.Fleet.callerAddress(4), "first", "warm")
+               .Status == 200;
   }));
-  CallerAnswer answer;
-  std::thread caller(
-      [&] { answer = ask(test.Fleet.callers(4), "running", "warm"); });
+  CallerResponse answer;
+  std::thread caller([&] {
+    answer = sendCallerRequest(test.Fleet.callerAddress(4), "running", "warm");
+  });
   std::this_thread::sleep_for(Millis(600));
   test.Fleet.signal(FrontFleet::frontName(4), SIGTERM);
   CHECK(waitUntil(seconds(2), [&] { return !test.Fleet.isReady(4); }));
   caller.join();
-  CHECK(answer.IsWhole);
+  CHECK(answer.IsComplete);
   CHECK(answer.Body.find("id: 10\n") != std::string::npos);
   CHECK(test.Fleet.waitForExit(FrontFleet::frontName(4), seconds(8)) == 0);
 }
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -58,11 +58,12 @@
   SoakEndpoint(const FrontFleet &Fleet, int Host, const std::string &Service,
                const std::set<std::string> &Models,
                const std::set<std::string> &OnDisk)
-      : Engine("i-" + std::to_string(Host), Service, Fleet.at(Host, EnginePort),
-               Models, OnDisk),
-        Proxy(Fleet.at(Host, ProxyPort), Fleet.at(Host, EnginePort)) {
-    Engine.announceAs(Fleet.at(Host, ProxyPort));
-    Engine.setPace(Millis(20));
+      : Engine("i-" + std::to_string(Host), Service,
+               Fleet.addressOf(Host, EnginePort), Models, OnDisk),
+        Proxy(Fleet.addressOf(Host, ProxyPort),
+              Fleet.addressOf(Host, EnginePort)) {
+    Engine.setAnnouncedAddress(Fleet.addressOf(Host, ProxyPort));
+    Engine.setEventInterval(Millis(20));
   }
 
   FakePlatformEngine Engine;
@@ -72,15 +73,15 @@
 /// What must hold, from what was seen.
 class Promises {
 public:
-  void note(const std::string &Id, const CallerAnswer &Answer) {
+  void note(const std::string &Id, const CallerResponse &Answer) {
     std::lock_guard guard(Lock);
     ++Report.Asked;
     bool isPromise = Answer.Status == 429 || Answer.Status == 503;
-    if (isPromise && Answer.IsWhole) {
+    if (isPromise && Answer.IsComplete) {
       ++Report.Refused;
       NotRun.insert(Id);
     }
-    if (Answer.Status != 200 || !Answer.IsWhole)
+    if (Answer.Status != 200 || !Answer.IsComplete)
       return;
     ++Report.Answered;
     if (Answer.Body != wholeBody())
@@ -92,7 +93,7 @@
     Served.insert(Id);
   }
 
-  void noteForeign(const CallerAnswer &Answer) {
+  void noteForeign(const CallerResponse &Answer) {
     std::lock_guard guard(Lock);
     if (Answer.Status == 200)
       breakOne("a request with a wrong key was served");
@@ -105,10 +106,10 @@
   }
 
   /// After the end: what endpoints saw.
-  void checkRuns(const std::vector<SeenRequest> &Seen) {
+  void checkRuns(const std::vector<ReceivedRequest> &Seen) {
     std::lock_guard guard(Lock);
     std::map<std::string, int> runs;
-    for (const SeenRequest &it : Seen) {
+    for (const ReceivedRequest &it : Seen) {
       ++runs[it.Id];
       for (const HttpField &field : it.Fields)
         if (field.Value.find("secret-key") != std::string::npos)
@@ -147,9 +148,9 @@
   int Acknowledged = 0;
 };
 
-CallerAnswer call(const std::string &Address, const std::string &Path,
-                  const std::string &Id, const std::string &Model,
-                  const std::string &Key) {
+CallerResponse call(const std::string &Address, const std::string &Path,
+                    const std::string &Id, const std::string &Model,
+                    const std::string &Key) {
   HttpRequest request{"POST",
                       Path,
                       {{"authorization", "Bearer " + Key},
@@ -178,7 +179,7 @@
       Endpoints.push_back(std::make_unique<SoakEndpoint>(
           Fleet, host, "chat", std::set<std::string>{isFirst ? "cold" : "warm"},
           std::set<std::string>{isFirst ? "warm" : "cold"}));
-      Fleet.startAgent(host, Fleet.at(host, ProxyPort));
+      Fleet.startAgent(host, Fleet.addressOf(host, ProxyPort));
     }
     for (int i = 0; i < DeskCount; ++i)
       Endpoints.push_back(std::make_unique<SoakEndpoint>(
@@ -187,8 +188,8 @@
   }
 
   SoakReport run(seconds Length) {
-    bool isUp =
-        waitUntil(HealLimit, [&] { return Fleet.put(1, soakTable(1)) == 200; });
+    bool isUp = waitUntil(
+        HealLimit, [&] { return Fleet.putTable(1, soakTable(1)) == 200; });
     Rules.check(isUp, "the fleet did not take its first table");
     std::vector<std::thread> threads;
     threads.emplace_back([this] { announce(); });
@@ -200,9 +201,9 @@
     IsOver = true;
     for (std::thread &it : threads)
       it.join();
-    std::vector<SeenRequest> seen;
+    std::vector<ReceivedRequest> seen;
     for (const auto &it : Endpoints)
-      for (SeenRequest &request : it->Engine.seen())
+      for (ReceivedRequest &request : it->Engine.receivedRequests())
         seen.push_back(std::move(request));
     Rules.checkRuns(seen);
     return Rules.Report;
@@ -217,7 +218,8 @@
     for (int i = 0; !IsOver; ++i) {
       for (const auto &it : Endpoints)
         for (int n = 0; n < 2; ++n)
-          if (it->Engine.announce(Fleet.control(1 + (i + n) % Fleet.fronts())))
+          if (it->Engine.announce(
+                  Fleet.controlAddress(1 + (i + n) % Fleet.frontCount())))
             break;
       std::this_thread::sleep_for(Millis(200));
     }
@@ -225,7 +227,8 @@
 
   void operate() {
     for (int version = 2; !IsOver; ++version) {
-      if (Fleet.put(1 + version % Fleet.fronts(), soakTable(version)) == 200)
+      if (Fleet.putTable(1 + version % Fleet.frontCount(),
+                         soakTable(version)) == 200)
         Rules.noteTable(version);
       std::this_thread::sleep_for(Millis(300));
     }
@@ -235,8 +238,8 @@
     std::mt19937 random(static_cast<unsigned>(Caller) + 1);
     for (int i = 0; !IsOver; ++i) {
       std::string id = "c" + std::to_string(Caller) + "-" + std::to_string(i);
-      std::string front =
-          Fleet.callers(1 + static_cast<int>(random() % 4) % Fleet.fronts());
+      std::string front = Fleet.callerAddress(
+          1 + static_cast<int>(random() % 4) % Fleet.frontCount());
       unsigned kind = random() % 10;
       if (kind == 0)
         Rules.noteForeign(call(front, "/p/x", id, "warm", "wrong-key"));
@@ -294,7 +297,7 @@
       else if (kind == 9)
         harmAll();
       else
-        harmFront(1 + draw(0, Fleet.fronts() - 1), kind);
+        harmFront(1 + draw(0, Fleet.frontCount() - 1), kind);
     }
   }
 
@@ -317,8 +320,9 @@
     if (!isFree(name))
       return;
     Fleet.kill(name);
-    begin("kill", name, Millis(draw(100, 1'500)),
-          [this, host] { Fleet.startAgent(host, Fleet.at(host, ProxyPort)); });
+    begin("kill", name, Millis(draw(100, 1'500)), [this, host] {
+      Fleet.startAgent(host, Fleet.addressOf(host, ProxyPort));
+    });
   }
 
   void harmFront(int Host, int Kind) {
@@ -351,7 +355,7 @@
 
   /// The operators' rule: no disk is given up while the group bears no loss.
   bool mayWipe(int Host) {
-    if (Host > Fleet.disks() || !isPast(NextWipe, Clock::now()))
+    if (Host > Fleet.diskCount() || !isPast(NextWipe, Clock::now()))
       return false;
     return Fleet.ctl("status").Out.find("losses borne now: 1") !=
            std::string::npos;
@@ -368,10 +372,10 @@
   void harmAll() {
     if (!Open.empty())
       return;
-    for (int i = 1; i <= Fleet.fronts(); ++i)
+    for (int i = 1; i <= Fleet.frontCount(); ++i)
       Fleet.kill(FrontFleet::frontName(i));
     begin("kill", AllFronts, Millis(draw(50, 800)), [this] {
-      for (int i = 1; i <= Fleet.fronts(); ++i)
+      for (int i = 1; i <= Fleet.frontCount(); ++i)
         Fleet.start(i, false);
     });
   }
@@ -386,17 +390,17 @@
 
   void heal() {
     endFaults(true);
-    for (int i = 1; i <= Fleet.fronts(); ++i) {
+    for (int i = 1; i <= Fleet.frontCount(); ++i) {
       std::string name = FrontFleet::frontName(i);
       int n = 0;
       bool isServing = waitUntil(HealLimit, [&] {
         std::string id = name + "-healed-" + std::to_string(n++);
-        CallerAnswer stream =
-            call(Fleet.callers(i), "/p/x", id, "warm", "secret-key");
+        CallerResponse stream =
+            call(Fleet.callerAddress(i), "/p/x", id, "warm", "secret-key");
         Rules.note(id, stream);
         std::string once = id + "-once";
-        CallerAnswer desk =
-            call(Fleet.callers(i), "/d/x", once, "", "secret-key");
+        CallerResponse desk =
+            call(Fleet.callerAddress(i), "/d/x", once, "", "secret-key");
         Rules.note(once, desk);
         return stream.Status == 200 && desk.Status == 200;
       });
