--- a/tests/process/test_explaining.cpp
+++ b/tests/process/test_explaining.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// From a request's id to the cause of its failure by logs alone, as
-/// docs/OPERATIONS.md tells it, for three kinds of failure.
+/// Traces requests from their id to the cause of their failure with the logs
+/// alone, as docs/OPERATIONS.md describes it, for three kinds of failure.
 #include "tests/harness/front_fleet.h"
 
 #include <catch2/catch.hpp>
@@ -13,28 +13,29 @@
 
 namespace {
 
-/// What the operators' tool prints for \p Id from all logs of the fleet.
+/// Returns the output of the operators' tool for \p Id and all logs of the
+/// fleet.
 std::string explain(const FrontFleet &Fleet, const std::string &Id) {
-  std::string words = "explain " + Id;
+  std::string arguments = "explain " + Id;
   for (const std::string &it : Fleet.processes())
-    words += " " + Fleet.logFile(it);
-  ToolResult result = Fleet.ctl(words);
+    arguments += " " + Fleet.logFile(it);
+  ToolResult result = Fleet.ctl(arguments);
   INFO(result.Errors);
   CHECK(result.Code == 0);
   return result.Out;
 }
 
-/// True when lines with these texts stand in \p Trace in this order.
-bool tells(const std::string &Trace,
-           const std::vector<std::vector<std::string>> &Lines) {
+/// Returns whether \p Trace has lines that contain these texts, in this order.
+bool containsInOrder(const std::string &Trace,
+                     const std::vector<std::vector<std::string>> &Lines) {
   size_t at = 0;
-  for (const std::vector<std::string> &wanted : Lines) {
+  for (const std::vector<std::string> &texts : Lines) {
     bool isFound = false;
     while (!isFound && at < Trace.size()) {
       size_t end = std::min(Trace.find('\n', at), Trace.size());
       std::string line = Trace.substr(at, end - at);
       isFound = true;
-      for (const std::string &it : wanted)
+      for (const std::string &it : texts)
         isFound = isFound && line.find(it) != std::string::npos;
       at = end + 1;
     }
@@ -51,7 +52,7 @@
   REQUIRE(waitUntil(seconds(10), [&] {
     return ask(test.Fleet.callers(1), "first", "warm").Status == 200;
   }));
-  // All callers come to one front at once, which has a part of the rate only.
+  // All callers send to one front at once, which has only a share of the rate.
   std::vector<unsigned> statuses(40);
   std::vector<std::thread> callers;
   for (size_t i = 0; i < statuses.size(); ++i)
@@ -67,20 +68,21 @@
   std::string id = "burst-" + std::to_string(refused - statuses.begin());
   std::string trace = explain(test.Fleet, id);
   INFO(trace);
-  CHECK(tells(trace,
-              {{"event=quota_refused", "id=" + id, "organisation=first",
-                "level=", "share_percent=", "share_left_ms=", "fronts=4"},
-               {"event=request_done", "outcome=rate_exceeded", "runs=0"}}));
+  CHECK(containsInOrder(
+      trace, {{"event=quota_refused", "id=" + id, "organisation=first",
+               "level=", "share_percent=", "share_left_ms=", "fronts=4"},
+              {"event=request_done", "outcome=rate_exceeded", "runs=0"}}));
 }
 
-TEST_CASE("answer that broke after it may have run is traced to its engine") {
+TEST_CASE(
+    "failed response to a request that may have run is traced to its engine") {
   ServedFleet test;
   REQUIRE(waitUntil(seconds(10), [&] {
     return ask(test.Fleet.callers(1), "first", "warm").Status == 200;
   }));
   test.Engine.breakAnswers(true);
-  CallerAnswer answer = ask(test.Fleet.callers(1), "broken-1", "warm");
-  CHECK(answer.Status == 502);
+  CallerAnswer response = ask(test.Fleet.callers(1), "broken-1", "warm");
+  CHECK(response.Status == 502);
   test.Engine.hangUp();
   REQUIRE(waitUntil(seconds(10), [&] {
     return test.Fleet.log(FrontFleet::agentName(50)).find("engine_lost") !=
@@ -88,12 +90,12 @@
   }));
   std::string trace = explain(test.Fleet, "broken-1");
   INFO(trace);
-  CHECK(tells(trace, {{"event=request_done", "id=broken-1", "status=502",
-                       "endpoint=i-1", "runs=1"},
-                      {"event=engine_lost", "engine="}}));
+  CHECK(containsInOrder(trace, {{"event=request_done", "id=broken-1",
+                                 "status=502", "endpoint=i-1", "runs=1"},
+                                {"event=engine_lost", "engine="}}));
 }
 
-TEST_CASE("late answer is traced to the load of its model") {
+TEST_CASE("late response is traced to the load of its model") {
   ServedFleet test;
   REQUIRE(waitUntil(seconds(10), [&] {
     return ask(test.Fleet.callers(1), "first", "warm").Status == 200;
@@ -102,11 +104,11 @@
   REQUIRE(ask(test.Fleet.callers(3), "cold-1", "cold").Status == 200);
   std::string trace = explain(test.Fleet, "cold-1");
   INFO(trace);
-  CHECK(tells(trace,
-              {{"event=load_planned", "model=cold", "endpoint=i-1", "order="},
-               {"event=order_received", "load=cold", "taken=yes"},
-               {"event=engine_order", "kind=load", "model=cold", "status=202"},
-               {"event=order_done"},
-               {"event=request_done", "id=cold-1", "outcome=answered",
-                "model=cold", "wait_ms="}}));
+  CHECK(containsInOrder(
+      trace, {{"event=load_planned", "model=cold", "endpoint=i-1", "order="},
+              {"event=order_received", "load=cold", "taken=yes"},
+              {"event=engine_order", "kind=load", "model=cold", "status=202"},
+              {"event=order_done"},
+              {"event=request_done", "id=cold-1", "outcome=answered",
+               "model=cold", "wait_ms="}}));
 }
--- a/tests/process/test_fronts.cpp
+++ b/tests/process/test_fronts.cpp
@@ -1,7 +1,7 @@
 /// \file
-/// Fronts and an engine agent as real processes, in front of a stand-in for
-/// the platform's engine: the whole path, and what must hold when a process
-/// is killed or stopped.
+/// Runs fronts and an engine agent as real processes with a fake engine of the
+/// platform: the whole request path, and what must hold when a process is
+/// killed or stopped.
 #include "tests/harness/front_fleet.h"
 
 #include <catch2/catch.hpp>
@@ -11,19 +11,20 @@
 using namespace sassafras;
 using std::chrono::seconds;
 
-TEST_CASE("fronts serve streams, keep keys and load cold models") {
+TEST_CASE(
+    "fronts serve streams, withhold keys from engines and load cold models") {
   ServedFleet test;
   for (int i = 1; i <= test.Fleet.fronts(); ++i) {
     INFO("front " << i);
     std::string id = "id-" + std::to_string(i);
-    CallerAnswer answer;
+    CallerAnswer response;
     REQUIRE(waitUntil(seconds(10), [&] {
-      answer = ask(test.Fleet.callers(i), id, "warm");
-      return answer.Status == 200;
+      response = ask(test.Fleet.callers(i), id, "warm");
+      return response.Status == 200;
     }));
-    CHECK(answer.IsWhole);
-    CHECK(answer.Body.find("id: 10\n") != std::string::npos);
-    CHECK(fieldOf(answer.Fields, "sassafrasseam-response-seal") == "seal");
+    CHECK(response.IsWhole);
+    CHECK(response.Body.find("id: 10\n") != std::string::npos);
+    CHECK(fieldOf(response.Fields, "sassafrasseam-response-seal") == "seal");
   }
   for (const SeenRequest &it : test.Engine.seen()) {
     CHECK(it.Body == "body");
@@ -40,8 +41,8 @@
   CHECK(test.Engine.countOrders() > orders);
 }
 
-TEST_CASE("table that was acknowledged outlives its leader and is in force "
-          "everywhere") {
+TEST_CASE("acknowledged table survives the loss of its leader and takes effect "
+          "on all fronts") {
   ServedFleet test;
   for (int version = 2; version <= 4; ++version) {
     int killed = version - 1;
@@ -65,7 +66,7 @@
   CHECK(test.Fleet.put(4, "nonsense") == 400);
 }
 
-TEST_CASE("draining endpoint gets no new work from any front") {
+TEST_CASE("draining endpoint gets no new requests from any front") {
   ServedFleet test;
   REQUIRE(waitUntil(seconds(10), [&] {
     return ask(test.Fleet.callers(4), "before", "warm").Status == 200;
@@ -73,26 +74,26 @@
   test.stopAnnouncing();
   REQUIRE(test.Engine.announce(test.Fleet.control(2), true));
   std::this_thread::sleep_for(Millis(500));
-  size_t seen = test.Engine.seen().size();
+  size_t receivedCount = test.Engine.seen().size();
   for (int i = 1; i <= test.Fleet.fronts(); ++i)
     CHECK(ask(test.Fleet.callers(i), "after", "warm").Status == 503);
-  CHECK(test.Engine.seen().size() == seen);
+  CHECK(test.Engine.seen().size() == receivedCount);
 }
 
-TEST_CASE("stop lets a running stream end and refuses nothing midway") {
+TEST_CASE("stopping front completes a running stream") {
   ServedFleet test;
   test.Engine.setPace(Millis(300));
   REQUIRE(waitUntil(seconds(10), [&] {
     return ask(test.Fleet.callers(4), "first", "warm").Status == 200;
   }));
-  CallerAnswer answer;
+  CallerAnswer response;
   std::thread caller(
-      [&] { answer = ask(test.Fleet.callers(4), "running", "warm"); });
+      [&] { response = ask(test.Fleet.callers(4), "running", "warm"); });
   std::this_thread::sleep_for(Millis(600));
   test.Fleet.signal(FrontFleet::frontName(4), SIGTERM);
   CHECK(waitUntil(seconds(2), [&] { return !test.Fleet.isReady(4); }));
   caller.join();
-  CHECK(answer.IsWhole);
-  CHECK(answer.Body.find("id: 10\n") != std::string::npos);
+  CHECK(response.IsWhole);
+  CHECK(response.Body.find("id: 10\n") != std::string::npos);
   CHECK(test.Fleet.waitForExit(FrontFleet::frontName(4), seconds(8)) == 0);
 }
