--- a/tests/process/test_processes.cpp
+++ b/tests/process/test_processes.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The promises on real processes over loopback: kill -9, SIGSTOP, lost data
-/// folders, SIGTERM under load.
+/// Checks the guarantees of the fleet with real processes over loopback:
+/// kill -9, SIGSTOP, lost data folders, SIGTERM under load.
 #include "tests/harness/process_fleet.h"
 
 #include <catch2/catch.hpp>
@@ -25,7 +25,7 @@
     "service,crew-booking,,,,1,,,5,/crew,,no,3600\n"
     "service,open-page,,,,1,,,5,/open,yes,yes,\n";
 
-/// A fleet with the table above and a key of tenant alpha.
+/// A fleet with the table above and a key of organisation alpha.
 class TestFleet {
 public:
   explicit TestFleet(int Engines = 2, Millis LoadTime = Millis(100))
@@ -43,11 +43,12 @@
     REQUIRE_FALSE(Key.empty());
     REQUIRE(waitUntil(seconds(15), [&] {
       std::string list = Fleet.ctl({"endpoints"}).Out;
-      return countOf(list, " ready ") == Engines + 1;
+      return countOccurrences(list, " ready ") == Engines + 1;
     }));
   }
 
-  static int countOf(const std::string &Text, const std::string &Part) {
+  static int countOccurrences(const std::string &Text,
+                              const std::string &Part) {
     int n = 0;
     for (size_t at = Text.find(Part); at != std::string::npos;
          at = Text.find(Part, at + 1))
@@ -55,8 +56,9 @@
     return n;
   }
 
-  CallerAnswer complete(int Entry, const std::string &Prompt, int Tokens = 5,
-                        bool IsStream = true, const char *Model = "m1") {
+  CallerAnswer sendCompletion(int Entry, const std::string &Prompt,
+                              int Tokens = 5, bool IsStream = true,
+                              const char *Model = "m1") {
     return callHttp(Fleet.entry(Entry),
                     {"POST",
                      "/v1/completions",
@@ -67,17 +69,17 @@
                          ",\"stream\":" + (IsStream ? "true}" : "false}")});
   }
 
-  CallerAnswer charge(int Entry, const std::string &Body) {
+  CallerAnswer sendCharge(int Entry, const std::string &Body) {
     return callHttp(
         Fleet.entry(Entry),
         {"POST", "/crew/charge", {{"authorization", "Bearer " + Key}}, Body});
   }
 
-  /// Runs of a body at the service, by its own count.
-  int runsOf(const std::string &Body) {
+  /// Returns how often the service has run a body, by its own counter.
+  int countRuns(const std::string &Body) {
     CallerAnswer state = callHttp(Fleet.httpOf("service-1-endpoint"),
                                   {"GET", "/admin/state", {}, {}});
-    // No answer is not the same as no run.
+    // Without a response the number of runs is unknown, not 0.
     REQUIRE(state.Status == 200);
     size_t at = state.Body.find("\"" + Body + "\":");
     if (at == std::string::npos)
@@ -89,50 +91,52 @@
   std::string Key;
 };
 
-/// Streams through one entry in the background and counts broken ones.
+/// Requests streams through one entry in the background and counts those that
+/// were served completely and those that failed.
 class Traffic {
 public:
   Traffic(TestFleet &Fleet, int Entry, int Callers) {
     for (int i = 0; i < Callers; ++i)
       Threads.emplace_back([this, &Fleet, Entry, i] {
-        for (int n = 0; !IsOver; ++n) {
-          CallerAnswer answer = Fleet.complete(
+        for (int n = 0; !IsStopped; ++n) {
+          CallerAnswer response = Fleet.sendCompletion(
               Entry, "traffic " + std::to_string(i * 1000 + n), 40);
-          bool isServed = answer.Status == 200 && answer.IsWhole &&
-                          answer.Body.find("[DONE]") != std::string::npos;
-          // No connection is no request: the balancer asks another entry.
-          if (answer.Status == 0)
+          bool isServed = response.Status == 200 && response.IsWhole &&
+                          response.Body.find("[DONE]") != std::string::npos;
+          // Without a connection there was no request: a load balancer would
+          // try another entry.
+          if (response.Status == 0)
             std::this_thread::sleep_for(Millis(50));
           else
-            ++(isServed ? Served : Broken);
+            ++(isServed ? Served : Failed);
         }
       });
   }
   ~Traffic() { stop(); }
   void stop() {
-    IsOver = true;
+    IsStopped = true;
     for (std::thread &it : Threads)
       if (it.joinable())
         it.join();
   }
 
   std::atomic<int> Served{0};
-  std::atomic<int> Broken{0};
+  std::atomic<int> Failed{0};
 
 private:
-  std::atomic<bool> IsOver{false};
+  std::atomic<bool> IsStopped{false};
   std::vector<std::thread> Threads;
 };
 
-bool isDone(const CallerAnswer &Answer) {
-  return Answer.Status == 200 && Answer.IsWhole;
+bool isSuccess(const CallerAnswer &Response) {
+  return Response.Status == 200 && Response.IsWhole;
 }
 
 } // namespace
 
-TEST_CASE("planned stop of each role cuts no request") {
+TEST_CASE("planned stop of each role interrupts no request") {
   TestFleet test;
-  REQUIRE(isDone(test.complete(1, "warm up")));
+  REQUIRE(isSuccess(test.sendCompletion(1, "warm up")));
   Traffic first(test, 1, 4);
   Traffic second(test, 2, 4);
   REQUIRE(waitUntil(seconds(20), [&] { return second.Served > 5; }));
@@ -148,66 +152,66 @@
   CHECK(waitUntil(seconds(20), [&] { return second.Served > before + 4; }));
   first.stop();
   second.stop();
-  CHECK(first.Broken == 0);
-  CHECK(second.Broken == 0);
+  CHECK(first.Failed == 0);
+  CHECK(second.Failed == 0);
 }
 
-TEST_CASE("withdrawn key stops everywhere though the leader is frozen") {
+TEST_CASE("withdrawn key is rejected everywhere while the leader is frozen") {
   TestFleet test;
-  REQUIRE(isDone(test.complete(1, "warm up")));
+  REQUIRE(isSuccess(test.sendCompletion(1, "warm up")));
   std::string leader = test.Fleet.leader();
   test.Fleet.signal(leader, SIGSTOP);
   ToolResult result = test.Fleet.ctl({"--wait", "key", "withdraw", "first"});
   INFO(result.Errors);
   CHECK(result.Code == 0);
-  CHECK(test.complete(1, "x").Status == 401);
-  CHECK(test.complete(2, "x").Status == 401);
+  CHECK(test.sendCompletion(1, "x").Status == 401);
+  CHECK(test.sendCompletion(2, "x").Status == 401);
   test.Fleet.signal(leader, SIGCONT);
-  // The woken leader neither orders nor brings the key back.
+  // The resumed leader neither issues orders nor restores the key.
   std::this_thread::sleep_for(seconds(2));
-  CHECK(test.complete(1, "y").Status == 401);
+  CHECK(test.sendCompletion(1, "y").Status == 401);
   CHECK(test.Fleet.ctl({"key", "list"}).Out.find("first") == std::string::npos);
 }
 
-TEST_CASE("withdrawn key cuts a running stream openly") {
+TEST_CASE("withdrawn key aborts a running stream with an error event") {
   TestFleet test;
-  REQUIRE(isDone(test.complete(1, "warm up")));
-  CallerAnswer answer;
-  std::thread caller([&] { answer = test.complete(1, "long", 1500); });
+  REQUIRE(isSuccess(test.sendCompletion(1, "warm up")));
+  CallerAnswer response;
+  std::thread caller([&] { response = test.sendCompletion(1, "long", 1500); });
   std::this_thread::sleep_for(seconds(1));
   CHECK(test.Fleet.ctl({"--wait", "key", "withdraw", "first"}).Code == 0);
   caller.join();
-  CHECK(answer.Status == 200);
-  CHECK_FALSE(answer.IsWhole);
-  CHECK(answer.Body.find("event: error") != std::string::npos);
-  CHECK(answer.Body.find("key_unknown") != std::string::npos);
+  CHECK(response.Status == 200);
+  CHECK_FALSE(response.IsWhole);
+  CHECK(response.Body.find("event: error") != std::string::npos);
+  CHECK(response.Body.find("key_unknown") != std::string::npos);
 }
 
 TEST_CASE("entry cut off from control fails closed for keyed routes") {
   TestFleet test;
-  REQUIRE(isDone(test.complete(1, "warm up")));
+  REQUIRE(isSuccess(test.sendCompletion(1, "warm up")));
   for (int i = 1; i <= 3; ++i)
     test.Fleet.signal(ProcessFleet::controlName(i), SIGSTOP);
   CHECK(waitUntil(seconds(10),
-                  [&] { return test.complete(1, "x").Status == 503; }));
+                  [&] { return test.sendCompletion(1, "x").Status == 503; }));
   CallerAnswer open =
       callHttp(test.Fleet.entry(1), {"GET", "/open/page", {}, {}});
   CHECK(open.Status != 401);
   for (int i = 1; i <= 3; ++i)
     test.Fleet.signal(ProcessFleet::controlName(i), SIGCONT);
   CHECK(waitUntil(seconds(20),
-                  [&] { return isDone(test.complete(1, "again")); }));
+                  [&] { return isSuccess(test.sendCompletion(1, "again")); }));
 }
 
-TEST_CASE("nothing accepted is lost with a disk and then a second one") {
+TEST_CASE("nothing accepted is lost when members lose their disks in turn") {
   TestFleet test;
-  REQUIRE(test.charge(1, "{\"charge\":7}").Status == 200);
-  // What an operator waits for before the next disk may go.
+  REQUIRE(test.sendCharge(1, "{\"charge\":7}").Status == 200);
+  // What an operator waits for before removing the next disk.
   auto isRepaired = [&] {
     std::string status = test.Fleet.ctl({"status"}).Out;
     return status.find("losses borne now: 1\n") != std::string::npos &&
-           TestFleet::countOf(status, " voter") == 3 &&
-           TestFleet::countOf(status, " learner") == 0;
+           TestFleet::countOccurrences(status, " voter") == 3 &&
+           TestFleet::countOccurrences(status, " learner") == 0;
   };
   REQUIRE(waitUntil(seconds(20), isRepaired));
   for (int number : {1, 2, 3}) {
@@ -216,62 +220,63 @@
     test.Fleet.startControl(number);
     REQUIRE(waitUntil(seconds(20), isRepaired));
   }
-  // Two leaders were lost within the time that an entry relies on the last one
-  // heard: it may refuse until the third has answered it.
+  // Two leaders were lost within the time for which an entry relies on the last
+  // leader it heard from: it may refuse requests until the third has replied.
   for (int entry : {1, 2}) {
     CallerAnswer again;
     bool isServed = waitUntil(seconds(10), [&] {
-      again = test.charge(entry, "{\"charge\":7}");
+      again = test.sendCharge(entry, "{\"charge\":7}");
       return again.Status == 200;
     });
     INFO(again.Body);
     CHECK(isServed);
   }
-  CHECK(test.runsOf("{\\\"charge\\\":7}") == 1);
+  CHECK(test.countRuns("{\\\"charge\\\":7}") == 1);
   CHECK(test.Fleet.ctl({"key", "list"}).Out.find("first") != std::string::npos);
-  CHECK(isDone(test.complete(1, "still served")));
+  CHECK(isSuccess(test.sendCompletion(1, "still served")));
 }
 
 TEST_CASE("group without a quorum says what it waits for and loses nothing") {
   TestFleet test;
-  REQUIRE(test.charge(1, "{\"charge\":7}").Status == 200);
-  // One loses its disk for good while another is down: only one of three
-  // voters is left, and the blank one cannot be taken in.
+  REQUIRE(test.sendCharge(1, "{\"charge\":7}").Status == 200);
+  // control-1 loses its disk permanently while control-2 is down: only one of
+  // three voters is left, and the empty control-1 cannot join the group.
   for (int number : {1, 2})
     test.Fleet.kill(ProcessFleet::controlName(number));
   test.Fleet.loseDisk(1);
   test.Fleet.hideDisk(2);
   test.Fleet.startControl(1);
-  // One that led acts until its lease ends.
+  // A leader that has lost its quorum continues to act until its lease ends.
   ToolResult status;
   REQUIRE(waitUntil(seconds(40), [&] {
     status = test.Fleet.ctl({"status"});
     return status.Code == 3;
   }));
   INFO(status.Errors);
-  // Without control-1 where control-3 still led when the blank member came: it
-  // has begun to take the lost one out of the group. Only control-2 can help.
-  std::string waits =
+  // control-1 is not listed if control-3 was still the leader when the empty
+  // member started: control-3 has then begun to remove the lost control-1 from
+  // the group, and only control-2 can restore the quorum.
+  std::string prefix =
       "control-3 has no leader and waits for 1 of these voters: ";
-  bool namesBoth =
-      status.Errors.find(waits + "control-1, control-2\n") != std::string::npos;
+  bool namesBoth = status.Errors.find(prefix + "control-1, control-2\n") !=
+                   std::string::npos;
   bool namesOne =
-      status.Errors.find(waits + "control-2\n") != std::string::npos;
+      status.Errors.find(prefix + "control-2\n") != std::string::npos;
   CHECK((namesBoth || namesOne));
   CHECK(status.Errors.find("control-1 has no leader and waits for a leader to "
                            "take it in") != std::string::npos);
   test.Fleet.returnDisk(2);
   test.Fleet.startControl(2);
   REQUIRE(waitUntil(seconds(30), [&] {
-    return test.charge(2, "{\"charge\":7}").Status == 200;
+    return test.sendCharge(2, "{\"charge\":7}").Status == 200;
   }));
-  CHECK(test.runsOf("{\\\"charge\\\":7}") == 1);
+  CHECK(test.countRuns("{\\\"charge\\\":7}") == 1);
 }
 
 TEST_CASE("hundreds of changes survive a kill of all control members") {
   TestFleet test;
   for (int i = 0; i < 260; ++i)
-    REQUIRE(test.charge(1 + i % 2, "{\"charge\":" + std::to_string(i) + "}")
+    REQUIRE(test.sendCharge(1 + i % 2, "{\"charge\":" + std::to_string(i) + "}")
                 .Status == 200);
   for (int i = 1; i <= 3; ++i)
     test.Fleet.kill(ProcessFleet::controlName(i));
@@ -279,75 +284,78 @@
     test.Fleet.startControl(i);
   REQUIRE_FALSE(test.Fleet.leader().empty());
   REQUIRE(waitUntil(seconds(20), [&] {
-    return test.charge(1, "{\"charge\":0}").Status == 200;
+    return test.sendCharge(1, "{\"charge\":0}").Status == 200;
   }));
   for (int i : {1, 100, 259}) {
     std::string body = "{\"charge\":" + std::to_string(i) + "}";
-    CHECK(test.charge(2, body).Status == 200);
-    CHECK(test.runsOf("{\\\"charge\\\":" + std::to_string(i) + "}") == 1);
+    CHECK(test.sendCharge(2, body).Status == 200);
+    CHECK(test.countRuns("{\\\"charge\\\":" + std::to_string(i) + "}") == 1);
   }
 }
 
-TEST_CASE("charge whose agent dies is said to may have run and never reruns") {
+TEST_CASE(
+    "charge whose agent dies is reported as may_have_run and never reruns") {
   TestFleet test;
-  CallerAnswer answer;
-  std::thread caller([&] { answer = test.charge(1, "{\"charge\":\"SLOW\"}"); });
+  CallerAnswer response;
+  std::thread caller(
+      [&] { response = test.sendCharge(1, "{\"charge\":\"SLOW\"}"); });
   REQUIRE(waitUntil(seconds(5), [&] {
-    return test.runsOf("{\\\"charge\\\":\\\"SLOW\\\"}") == 1;
+    return test.countRuns("{\\\"charge\\\":\\\"SLOW\\\"}") == 1;
   }));
   test.Fleet.kill("service-1");
   caller.join();
-  CHECK(answer.Status >= 400);
-  CHECK(answer.Body.find("may_have_run") != std::string::npos);
+  CHECK(response.Status >= 400);
+  CHECK(response.Body.find("may_have_run") != std::string::npos);
   test.Fleet.startService();
-  CallerAnswer again = test.charge(2, "{\"charge\":\"SLOW\"}");
+  CallerAnswer again = test.sendCharge(2, "{\"charge\":\"SLOW\"}");
   CHECK(again.Status == 409);
   CHECK(again.Body.find("may_have_run") != std::string::npos);
 }
 
-TEST_CASE("request that crashes its endpoint is barred after two deaths") {
+TEST_CASE("request that crashes its endpoint is rejected after two crashes") {
   TestFleet test(3);
-  REQUIRE(isDone(test.complete(1, "warm up")));
-  CallerAnswer first = test.complete(1, "CRASH", 5, false);
+  REQUIRE(isSuccess(test.sendCompletion(1, "warm up")));
+  CallerAnswer first = test.sendCompletion(1, "CRASH", 5, false);
   CHECK(first.Status >= 400);
-  auto deaths = [&] {
+  auto countCrashes = [&] {
     int n = 0;
     for (int i = 1; i <= 3; ++i)
       n += !test.Fleet.isRunning(ProcessFleet::engineName(i) + "-endpoint");
     return n;
   };
-  for (int i = 0; i < 4 && deaths() < 2; ++i)
-    test.complete(1 + i % 2, "CRASH", 5, false);
-  CHECK(deaths() == 2);
+  for (int i = 0; i < 4 && countCrashes() < 2; ++i)
+    test.sendCompletion(1 + i % 2, "CRASH", 5, false);
+  CHECK(countCrashes() == 2);
   CHECK(waitUntil(seconds(10), [&] {
-    return test.complete(2, "CRASH", 5, false).Status == 422;
+    return test.sendCompletion(2, "CRASH", 5, false).Status == 422;
+  }));
+  CHECK(test.sendCompletion(1, "CRASH", 5, false).Status == 422);
+  CHECK(countCrashes() == 2);
+  CHECK(waitUntil(seconds(20), [&] {
+    return isSuccess(test.sendCompletion(1, "bystander"));
   }));
-  CHECK(test.complete(1, "CRASH", 5, false).Status == 422);
-  CHECK(deaths() == 2);
-  CHECK(waitUntil(seconds(20),
-                  [&] { return isDone(test.complete(1, "bystander")); }));
 }
 
-TEST_CASE("answer that breaks off is never passed on as whole") {
+TEST_CASE("truncated response is never forwarded as complete") {
   TestFleet test;
-  REQUIRE(isDone(test.complete(1, "warm up")));
-  CallerAnswer cut = test.complete(1, "CUT here", 20);
-  CHECK_FALSE(isDone(cut));
-  CallerAnswer stalled = test.complete(1, "STALL here", 20, true, "m2");
+  REQUIRE(isSuccess(test.sendCompletion(1, "warm up")));
+  CallerAnswer truncated = test.sendCompletion(1, "CUT here", 20);
+  CHECK_FALSE(isSuccess(truncated));
+  CallerAnswer stalled = test.sendCompletion(1, "STALL here", 20, true, "m2");
   CHECK(stalled.Status == 503);
   CHECK(stalled.Body.find("may_have_run") != std::string::npos);
 }
 
-TEST_CASE("no endpoint sees a key, nor does a log or a metric") {
+TEST_CASE("no key reaches an endpoint, a log or a metric") {
   TestFleet test;
-  REQUIRE(isDone(test.complete(1, "warm up")));
-  struct Place {
-    const char *What;
+  REQUIRE(isSuccess(test.sendCompletion(1, "warm up")));
+  struct KeyCase {
+    const char *Name;
     HttpRequest Request;
     unsigned Status;
   };
   const std::string &key = test.Key;
-  const Place cases[] = {
+  const KeyCase cases[] = {
       {"bearer",
        {"GET", "/crew/a", {{"authorization", "Bearer " + key}}, {}},
        200},
@@ -369,8 +377,8 @@
       {"missing", {"GET", "/crew/i", {}, {}}, 401},
       {"wrong", {"GET", "/crew/j", {{"x-api-key", "sk-other"}}, {}}, 401},
   };
-  for (const Place &it : cases) {
-    INFO(it.What);
+  for (const KeyCase &it : cases) {
+    INFO(it.Name);
     CHECK(callHttp(test.Fleet.entry(1), it.Request).Status == it.Status);
   }
   CallerAnswer state = callHttp(test.Fleet.httpOf("service-1-endpoint"),
@@ -383,15 +391,15 @@
   CHECK(metrics.Body.find("sk-") == std::string::npos);
 }
 
-TEST_CASE("one wake-up however many entries ask at once") {
+TEST_CASE("concurrent requests at several entries cause only one cold start") {
   TestFleet test(2, Millis(1500));
   std::vector<std::thread> callers;
   std::atomic<int> served{0};
   callers.reserve(12);
   for (int i = 0; i < 12; ++i)
     callers.emplace_back([&, i] {
-      served += isDone(test.complete(1 + i % 2, "burst " + std::to_string(i), 5,
-                                     true, "m2"));
+      served += isSuccess(test.sendCompletion(
+          1 + i % 2, "burst " + std::to_string(i), 5, true, "m2"));
     });
   for (std::thread &it : callers)
     it.join();
@@ -401,35 +409,35 @@
   CHECK(loads == 1);
 }
 
-TEST_CASE("agent that restarts keeps what its endpoint holds") {
+TEST_CASE("restarted agent keeps the models that its endpoint has loaded") {
   TestFleet test(1);
-  REQUIRE(isDone(test.complete(1, "warm up")));
+  REQUIRE(isSuccess(test.sendCompletion(1, "warm up")));
   test.Fleet.kill("engine-1");
   test.Fleet.startAgentOnly(1);
   CHECK(waitUntil(seconds(20),
-                  [&] { return isDone(test.complete(1, "again")); }));
+                  [&] { return isSuccess(test.sendCompletion(1, "again")); }));
   CHECK(test.Fleet.metric("engine-1", "orders_total{kind=\"load\"}") == 0);
   CHECK(test.Fleet.metric("engine-1", "orders_total{kind=\"unload\"}") == 0);
 }
 
-TEST_CASE("operators race on one version and resend") {
+TEST_CASE("concurrent and resent table edits of one base version apply once") {
   TestFleet test;
   std::string path = test.Fleet.folder() + "/table.csv";
   std::vector<int> codes(3);
   std::vector<std::thread> operators;
   operators.reserve(3);
-  // Each tool run is a process of its own; the base version is the same.
-  std::vector<std::vector<std::string>> words;
+  // Each tool run is a separate process; all use the same base version.
+  std::vector<std::vector<std::string>> arguments;
   for (int i = 0; i < 3; ++i)
-    words.push_back({"--base", "1", "--operation", "op" + std::to_string(i),
-                     "table", "put", path});
+    arguments.push_back({"--base", "1", "--operation", "op" + std::to_string(i),
+                         "table", "put", path});
   for (size_t i = 0; i < 3; ++i)
     operators.emplace_back(
-        [&, i] { codes[i] = test.Fleet.ctl(words[i]).Code; });
+        [&, i] { codes[i] = test.Fleet.ctl(arguments[i]).Code; });
   for (std::thread &it : operators)
     it.join();
   CHECK(std::count(codes.begin(), codes.end(), 0) == 1);
   CHECK(std::count(codes.begin(), codes.end(), 4) == 2);
   for (size_t i = 0; i < 3; ++i)
-    CHECK(test.Fleet.ctl(words[i]).Code == codes[i]);
+    CHECK(test.Fleet.ctl(arguments[i]).Code == codes[i]);
 }
