--- a/tests/soak/fault_proxy.cpp
+++ b/tests/soak/fault_proxy.cpp
@@ -17,22 +17,24 @@
 namespace {
 
 constexpr Millis DelayTime{150};
-/// Held bytes are tried again at this pace.
-constexpr Millis HoldTime{20};
+/// Interval at which blocked bytes are retried.
+constexpr Millis BlockedRetryInterval{20};
 
 tcp::endpoint endpointOf(const std::string &Address) {
   auto parsed = parseAddress(Address);
   return {asio::ip::make_address(parsed->Ip), parsed->Port};
 }
 
-/// Both sides of one connection. Ends when either side does.
-struct Pair : std::enable_shared_from_this<Pair> {
-  Pair(asio::io_context &Io, const std::atomic<ProxyFault> &Fault)
+/// A caller's connection and the forwarded one to the target. Both are closed
+/// when either side ends.
+struct ProxyConnection : std::enable_shared_from_this<ProxyConnection> {
+  ProxyConnection(asio::io_context &Io, const std::atomic<ProxyFault> &Fault)
       : Caller(Io), Target(Io), Fault(Fault) {}
 
-  void end() {
+  void close() {
     boost::system::error_code ec;
-    // A close with unread or unsent bytes is a reset at the other end.
+    // A linger time of 0 makes a close discard unread and unsent bytes and
+    // reset the connection at the peer.
     asio::socket_base::linger reset(true, 0);
     if (Fault == ProxyFault::Reset)
       Caller.set_option(reset, ec);
@@ -40,55 +42,56 @@
     Target.close(ec);
   }
 
-  void pass(tcp::socket &From, tcp::socket &To, ProxyFault Cut,
-            std::array<char, 16'384> &Buffer) {
+  void readAndForward(tcp::socket &From, tcp::socket &To,
+                      ProxyFault BlockingFault,
+                      std::array<char, 16'384> &Buffer) {
     From.async_read_some(asio::buffer(Buffer),
-                         [self = shared_from_this(), &From, &To, Cut,
+                         [self = shared_from_this(), &From, &To, BlockingFault,
                           &Buffer](auto ec, size_t n) {
                            if (ec)
-                             self->end();
+                             self->close();
                            else
-                             self->forward(From, To, Cut, Buffer, n);
+                             self->forward(From, To, BlockingFault, Buffer, n);
                          });
   }
 
-  void forward(tcp::socket &From, tcp::socket &To, ProxyFault Cut,
+  void forward(tcp::socket &From, tcp::socket &To, ProxyFault BlockingFault,
                std::array<char, 16'384> &Buffer, size_t Count) {
     ProxyFault fault = Fault;
-    bool isCut = fault == Cut || fault == ProxyFault::Silence;
-    Millis pause = isCut ? HoldTime : Millis(0);
+    bool isBlocked = fault == BlockingFault || fault == ProxyFault::BlockBoth;
+    Millis delay = isBlocked ? BlockedRetryInterval : Millis(0);
     if (fault == ProxyFault::Delay)
-      pause = DelayTime;
+      delay = DelayTime;
     auto timer =
-        std::make_shared<asio::steady_timer>(From.get_executor(), pause);
-    timer->async_wait([self = shared_from_this(), timer, &From, &To, Cut,
-                       &Buffer, Count, isCut](auto) {
-      // A cut network loses no bytes of a connection: they are sent again once
-      // it has healed.
-      if (isCut)
-        self->forward(From, To, Cut, Buffer, Count);
+        std::make_shared<asio::steady_timer>(From.get_executor(), delay);
+    timer->async_wait([self = shared_from_this(), timer, &From, &To,
+                       BlockingFault, &Buffer, Count, isBlocked](auto) {
+      // TCP loses no bytes of a connection during a partition: they are
+      // retransmitted once the network has recovered.
+      if (isBlocked)
+        self->forward(From, To, BlockingFault, Buffer, Count);
       else
-        self->write(From, To, Cut, Buffer, Count);
+        self->write(From, To, BlockingFault, Buffer, Count);
     });
   }
 
-  void write(tcp::socket &From, tcp::socket &To, ProxyFault Cut,
+  void write(tcp::socket &From, tcp::socket &To, ProxyFault BlockingFault,
              std::array<char, 16'384> &Buffer, size_t Count) {
-    asio::async_write(
-        To, asio::buffer(Buffer.data(), Count),
-        [self = shared_from_this(), &From, &To, Cut, &Buffer](auto ec, size_t) {
-          if (ec)
-            self->end();
-          else
-            self->pass(From, To, Cut, Buffer);
-        });
+    asio::async_write(To, asio::buffer(Buffer.data(), Count),
+                      [self = shared_from_this(), &From, &To, BlockingFault,
+                       &Buffer](auto ec, size_t) {
+                        if (ec)
+                          self->close();
+                        else
+                          self->readAndForward(From, To, BlockingFault, Buffer);
+                      });
   }
 
   tcp::socket Caller;
   tcp::socket Target;
   const std::atomic<ProxyFault> &Fault;
-  std::array<char, 16'384> Up{};
-  std::array<char, 16'384> Down{};
+  std::array<char, 16'384> UpstreamBuffer{};
+  std::array<char, 16'384> DownstreamBuffer{};
 };
 
 } // namespace
@@ -97,31 +100,35 @@
   Impl(const std::string &Address, const std::string &Target)
       : Acceptor(Io, endpointOf(Address)), Target(endpointOf(Target)) {
     accept();
-    Runner = std::thread([this] { Io.run(); });
+    IoThread = std::thread([this] { Io.run(); });
   }
 
   void accept() {
-    auto pair = std::make_shared<Pair>(Io, Fault);
-    Acceptor.async_accept(pair->Caller, [this, pair](auto ec) {
+    auto connection = std::make_shared<ProxyConnection>(Io, Fault);
+    Acceptor.async_accept(connection->Caller, [this, connection](auto ec) {
       if (ec)
         return;
-      Pairs.push_back(pair);
+      Connections.push_back(connection);
       if (Fault == ProxyFault::Reset)
-        pair->end();
+        connection->close();
       else
-        connect(pair);
+        connect(connection);
       accept();
     });
   }
 
-  void connect(const std::shared_ptr<Pair> &Pair) {
-    Pair->Target.async_connect(Target, [Pair](auto ec) {
+  void connect(const std::shared_ptr<ProxyConnection> &Connection) {
+    Connection->Target.async_connect(Target, [Connection](auto ec) {
       if (ec) {
-        Pair->end();
+        Connection->close();
         return;
       }
-      Pair->pass(Pair->Caller, Pair->Target, ProxyFault::CutUp, Pair->Up);
-      Pair->pass(Pair->Target, Pair->Caller, ProxyFault::CutDown, Pair->Down);
+      Connection->readAndForward(Connection->Caller, Connection->Target,
+                                 ProxyFault::BlockUpstream,
+                                 Connection->UpstreamBuffer);
+      Connection->readAndForward(Connection->Target, Connection->Caller,
+                                 ProxyFault::BlockDownstream,
+                                 Connection->DownstreamBuffer);
     });
   }
 
@@ -129,8 +136,8 @@
   tcp::acceptor Acceptor;
   tcp::endpoint Target;
   std::atomic<ProxyFault> Fault{ProxyFault::None};
-  std::vector<std::weak_ptr<Pair>> Pairs;
-  std::thread Runner;
+  std::vector<std::weak_ptr<ProxyConnection>> Connections;
+  std::thread IoThread;
 };
 
 FaultProxy::FaultProxy(const std::string &Address, const std::string &Target)
@@ -138,18 +145,18 @@
 
 FaultProxy::~FaultProxy() {
   Data->Io.stop();
-  Data->Runner.join();
+  Data->IoThread.join();
 }
 
-void FaultProxy::set(ProxyFault Fault) {
+void FaultProxy::setFault(ProxyFault Fault) {
   Data->Fault = Fault;
   asio::post(Data->Io, [data = Data.get()] {
     if (data->Fault != ProxyFault::Reset)
       return;
-    for (const std::weak_ptr<Pair> &it : data->Pairs)
-      if (auto pair = it.lock())
-        pair->end();
-    data->Pairs.clear();
+    for (const std::weak_ptr<ProxyConnection> &it : data->Connections)
+      if (auto connection = it.lock())
+        connection->close();
+    data->Connections.clear();
   });
 }
 
--- a/tests/soak/fault_proxy.h
+++ b/tests/soak/fault_proxy.h
@@ -1,5 +1,5 @@
 /// \file
-/// A TCP proxy on loopback that harms what passes through it.
+/// TCP proxy on loopback that injects faults into the connections it forwards.
 #ifndef SASSAFRAS_TESTS_SOAK_FAULT_PROXY_H
 #define SASSAFRAS_TESTS_SOAK_FAULT_PROXY_H
 
@@ -12,23 +12,25 @@
 
 enum class ProxyFault {
   None,
-  Delay,   ///< Each piece arrives late.
-  CutUp,   ///< Nothing arrives at the target while this lasts.
-  CutDown, ///< Nothing comes back from the target while this lasts.
-  Silence, ///< Nothing passes either way; connections stay open.
-  Reset,   ///< Connections are reset, and new ones refused.
+  Delay,         ///< Each chunk of bytes is forwarded with a delay.
+  BlockUpstream, ///< No bytes are forwarded to the target until the fault ends.
+  BlockDownstream, ///< No bytes are forwarded from the target until the fault
+                   ///< ends.
+  BlockBoth, ///< No bytes are forwarded either way; connections stay open.
+  Reset,     ///< Open connections are reset, and new ones as soon as accepted.
 };
 
-/// Runs on a thread of its own. All methods are thread safe.
+/// Runs on its own thread. All methods are thread-safe.
 class FaultProxy {
 public:
-  /// Listens at \p Address and passes on to \p Target.
+  /// Listens on \p Address and forwards each connection to \p Target.
   FaultProxy(const std::string &Address, const std::string &Target);
   ~FaultProxy();
   FaultProxy(const FaultProxy &) = delete;
   FaultProxy &operator=(const FaultProxy &) = delete;
 
-  void set(ProxyFault Fault);
+  /// Replaces the current fault; it applies to open and new connections.
+  void setFault(ProxyFault Fault);
 
 private:
   struct Impl;
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -306,9 +306,10 @@
       return;
     auto fault = static_cast<ProxyFault>(draw(1, 5));
     FaultProxy &proxy = Endpoints[index]->Proxy;
-    proxy.set(fault);
+    proxy.setFault(fault);
     begin("proxy fault " + std::to_string(static_cast<int>(fault)), name,
-          Millis(draw(200, 2'500)), [&proxy] { proxy.set(ProxyFault::None); });
+          Millis(draw(200, 2'500)),
+          [&proxy] { proxy.setFault(ProxyFault::None); });
   }
 
   void harmAgent() {
