--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -17,15 +17,15 @@
 
 constexpr int FirstEngineHost = 50;
 constexpr int EngineCount = 3;
-constexpr int DeskCount = 2;
+constexpr int DeskEndpointCount = 2;
 constexpr int CallerCount = 6;
 constexpr int EnginePort = 7;
 constexpr int ProxyPort = 6;
 constexpr const char *AllFronts = "all fronts";
-constexpr seconds CallLimit{6};
-constexpr seconds HealLimit{30};
-/// A disk is taken at most this often; the group repairs itself meanwhile.
-constexpr Millis WipePause{8'000};
+constexpr seconds RequestTimeout{6};
+constexpr seconds RecoveryTimeout{30};
+/// Minimum time between two lost disks, in which the group repairs itself.
+constexpr Millis MinDiskLossInterval{8'000};
 
 std::string soakTable(int Version) {
   std::string version = std::to_string(Version);
@@ -46,14 +46,15 @@
          R"("api-keys":["secret-key"]}]})";
 }
 
-std::string wholeBody() {
+std::string expectedBody() {
   std::string out;
   for (int i = 1; i <= 10; ++i)
     out += "id: " + std::to_string(i) + "\ndata: x\n\n";
   return out;
 }
 
-/// An endpoint behind a proxy, announcing itself as the platform's do.
+/// Fake endpoint behind a fault proxy. It sends heartbeats as the endpoints of
+/// the platform do, with the address of the proxy.
 struct SoakEndpoint {
   SoakEndpoint(const FrontFleet &Fleet, int Host, const std::string &Service,
                const std::set<std::string> &Models,
@@ -69,87 +70,94 @@
   FaultProxy Proxy;
 };
 
-/// What must hold, from what was seen.
-class Promises {
+/// Checks the invariants against the observed responses and received requests.
+/// Methods are thread-safe.
+class InvariantChecker {
 public:
-  void note(const std::string &Id, const CallerAnswer &Answer) {
-    std::lock_guard guard(Lock);
-    ++Report.Asked;
-    bool isPromise = Answer.Status == 429 || Answer.Status == 503;
-    if (isPromise && Answer.IsWhole) {
+  void recordResponse(const std::string &Id, const CallerAnswer &Response) {
+    std::lock_guard guard(Mutex);
+    ++Report.Requests;
+    bool isRefusal = Response.Status == 429 || Response.Status == 503;
+    if (isRefusal && Response.IsWhole) {
       ++Report.Refused;
-      NotRun.insert(Id);
+      RefusedIds.insert(Id);
     }
-    if (Answer.Status != 200 || !Answer.IsWhole)
+    if (Response.Status != 200 || !Response.IsWhole)
       return;
-    ++Report.Answered;
-    if (Answer.Body != wholeBody())
-      breakOne(Id + ": a body that looks whole is not: " + Answer.Body);
-    if (fieldOf(Answer.Fields, "sassafrasseam-attempt-id") != Id)
-      breakOne(Id + ": the answer belongs to another request");
-    if (fieldOf(Answer.Fields, "sassafrasseam-response-seal") != "seal")
-      breakOne(Id + ": a success without its endpoint's seal");
-    Served.insert(Id);
+    ++Report.Succeeded;
+    if (Response.Body != expectedBody())
+      addViolation(Id +
+                   ": complete response has a wrong body: " + Response.Body);
+    if (fieldOf(Response.Fields, "sassafrasseam-attempt-id") != Id)
+      addViolation(Id + ": response belongs to another request");
+    if (fieldOf(Response.Fields, "sassafrasseam-response-seal") != "seal")
+      addViolation(Id + ": response with status 200 lacks its endpoint's seal");
+    SucceededIds.insert(Id);
   }
 
-  void noteForeign(const CallerAnswer &Answer) {
-    std::lock_guard guard(Lock);
-    if (Answer.Status == 200)
-      breakOne("a request with a wrong key was served");
+  void recordWrongKeyResponse(const CallerAnswer &Response) {
+    std::lock_guard guard(Mutex);
+    if (Response.Status == 200)
+      addViolation("request with a wrong key got status 200");
   }
 
-  void noteTable(int Version) {
-    std::lock_guard guard(Lock);
+  void recordTable(int Version) {
+    std::lock_guard guard(Mutex);
     ++Report.TablesAcknowledged;
-    Acknowledged = std::max(Acknowledged, Version);
+    AcknowledgedVersion = std::max(AcknowledgedVersion, Version);
   }
 
-  /// After the end: what endpoints saw.
-  void checkRuns(const std::vector<SeenRequest> &Seen) {
-    std::lock_guard guard(Lock);
+  /// Checks the requests that endpoints received. Call once all requests have
+  /// ended.
+  void checkReceivedRequests(const std::vector<SeenRequest> &Received) {
+    std::lock_guard guard(Mutex);
     std::map<std::string, int> runs;
-    for (const SeenRequest &it : Seen) {
+    for (const SeenRequest &it : Received) {
       ++runs[it.Id];
       for (const HttpField &field : it.Fields)
         if (field.Value.find("secret-key") != std::string::npos)
-          breakOne(it.Id + ": the caller's key reached an endpoint");
+          addViolation(it.Id + ": caller's key was sent to an endpoint");
     }
     for (const auto &[id, n] : runs) {
       if (n > 1)
-        breakOne(id + ": ran " + std::to_string(n) + " times");
-      if (NotRun.contains(id))
-        breakOne(id + ": was refused as not run, and ran");
+        addViolation(id + ": reached endpoints " + std::to_string(n) +
+                     " times");
+      if (RefusedIds.contains(id))
+        addViolation(id + ": was refused as not run but reached an endpoint");
     }
-    for (const std::string &it : Served)
+    for (const std::string &it : SucceededIds)
       if (!runs.contains(it))
-        breakOne(it + ": was answered, and no endpoint saw it");
+        addViolation(it + ": got status 200 but reached no endpoint");
   }
 
-  void check(bool IsKept, const std::string &Promise) {
-    std::lock_guard guard(Lock);
-    if (!IsKept)
-      breakOne(Promise);
+  void check(bool IsSatisfied, const std::string &Violation) {
+    std::lock_guard guard(Mutex);
+    if (!IsSatisfied)
+      addViolation(Violation);
   }
 
-  int acknowledged() {
-    std::lock_guard guard(Lock);
-    return Acknowledged;
+  int acknowledgedVersion() {
+    std::lock_guard guard(Mutex);
+    return AcknowledgedVersion;
   }
 
   SoakReport Report;
 
 private:
-  void breakOne(const std::string &Line) { Report.Broken.push_back(Line); }
+  /// Precondition: Mutex is held.
+  void addViolation(const std::string &Line) {
+    Report.Violations.push_back(Line);
+  }
 
-  std::mutex Lock;
-  std::set<std::string> NotRun;
-  std::set<std::string> Served;
-  int Acknowledged = 0;
+  std::mutex Mutex;
+  std::set<std::string> RefusedIds;
+  std::set<std::string> SucceededIds;
+  int AcknowledgedVersion = 0;
 };
 
-CallerAnswer call(const std::string &Address, const std::string &Path,
-                  const std::string &Id, const std::string &Model,
-                  const std::string &Key) {
+CallerAnswer sendRequest(const std::string &Address, const std::string &Path,
+                         const std::string &Id, const std::string &Model,
+                         const std::string &Key) {
   HttpRequest request{"POST",
                       Path,
                       {{"authorization", "Bearer " + Key},
@@ -159,14 +167,14 @@
                       "body"};
   if (!Model.empty())
     request.Fields.push_back({"sassafrasseam-model", Model});
-  return callHttp(Address, request, CallLimit);
+  return callHttp(Address, request, RequestTimeout);
 }
 
-/// A fault that is under way and what ends it.
-struct OpenFault {
+/// A fault that is in effect, and the function that ends it.
+struct ActiveFault {
   TimePoint EndsAt;
-  std::string On;
-  std::function<void()> End;
+  std::string Target;
+  std::function<void()> Revert;
 };
 
 class Soak {
@@ -180,41 +188,42 @@
           std::set<std::string>{isFirst ? "warm" : "cold"}));
       Fleet.startAgent(host, Fleet.at(host, ProxyPort));
     }
-    for (int i = 0; i < DeskCount; ++i)
+    for (int i = 0; i < DeskEndpointCount; ++i)
       Endpoints.push_back(std::make_unique<SoakEndpoint>(
           Fleet, FirstEngineHost + EngineCount + i, "desk",
           std::set<std::string>{}, std::set<std::string>{}));
   }
 
-  SoakReport run(seconds Length) {
-    bool isUp =
-        waitUntil(HealLimit, [&] { return Fleet.put(1, soakTable(1)) == 200; });
-    Rules.check(isUp, "the fleet did not take its first table");
+  SoakReport run(seconds Duration) {
+    bool isTableAccepted = waitUntil(
+        RecoveryTimeout, [&] { return Fleet.put(1, soakTable(1)) == 200; });
+    Invariants.check(isTableAccepted, "first table was not accepted in time");
     std::vector<std::thread> threads;
-    threads.emplace_back([this] { announce(); });
-    threads.emplace_back([this] { operate(); });
+    threads.emplace_back([this] { sendHeartbeats(); });
+    threads.emplace_back([this] { updateTables(); });
     for (int i = 0; i < CallerCount; ++i)
-      threads.emplace_back([this, i] { ask(i); });
-    harm(Clock::now() + Length);
-    heal();
-    IsOver = true;
+      threads.emplace_back([this, i] { sendRequests(i); });
+    injectFaults(Clock::now() + Duration);
+    checkRecovery();
+    IsStopped = true;
     for (std::thread &it : threads)
       it.join();
-    std::vector<SeenRequest> seen;
+    std::vector<SeenRequest> received;
     for (const auto &it : Endpoints)
       for (SeenRequest &request : it->Engine.seen())
-        seen.push_back(std::move(request));
-    Rules.checkRuns(seen);
-    return Rules.Report;
+        received.push_back(std::move(request));
+    Invariants.checkReceivedRequests(received);
+    return Invariants.Report;
   }
 
 private:
-  int draw(int Least, int Most) {
-    return std::uniform_int_distribution<int>(Least, Most)(Random);
+  /// Returns a random number between \p Min and \p Max, both included.
+  int randomInt(int Min, int Max) {
+    return std::uniform_int_distribution<int>(Min, Max)(Random);
   }
 
-  void announce() {
-    for (int i = 0; !IsOver; ++i) {
+  void sendHeartbeats() {
+    for (int i = 0; !IsStopped; ++i) {
       for (const auto &it : Endpoints)
         for (int n = 0; n < 2; ++n)
           if (it->Engine.announce(Fleet.control(1 + (i + n) % Fleet.fronts())))
@@ -223,194 +232,212 @@
     }
   }
 
-  void operate() {
-    for (int version = 2; !IsOver; ++version) {
+  void updateTables() {
+    for (int version = 2; !IsStopped; ++version) {
       if (Fleet.put(1 + version % Fleet.fronts(), soakTable(version)) == 200)
-        Rules.noteTable(version);
+        Invariants.recordTable(version);
       std::this_thread::sleep_for(Millis(300));
     }
   }
 
-  void ask(int Caller) {
+  void sendRequests(int Caller) {
     std::mt19937 random(static_cast<unsigned>(Caller) + 1);
-    for (int i = 0; !IsOver; ++i) {
+    for (int i = 0; !IsStopped; ++i) {
       std::string id = "c" + std::to_string(Caller) + "-" + std::to_string(i);
       std::string front =
           Fleet.callers(1 + static_cast<int>(random() % 4) % Fleet.fronts());
       unsigned kind = random() % 10;
       if (kind == 0)
-        Rules.noteForeign(call(front, "/p/x", id, "warm", "wrong-key"));
+        Invariants.recordWrongKeyResponse(
+            sendRequest(front, "/p/x", id, "warm", "wrong-key"));
       else if (kind < 4)
-        Rules.note(id, call(front, "/d/x", id, "", "secret-key"));
+        Invariants.recordResponse(
+            id, sendRequest(front, "/d/x", id, "", "secret-key"));
       else
-        Rules.note(id, call(front, "/p/x", id, kind < 6 ? "cold" : "warm",
-                            "secret-key"));
+        Invariants.recordResponse(id, sendRequest(front, "/p/x", id,
+                                                  kind < 6 ? "cold" : "warm",
+                                                  "secret-key"));
       std::this_thread::sleep_for(Millis(10));
     }
   }
 
   // ---- Faults ----
 
-  void begin(const std::string &Name, const std::string &On, Millis Length,
-             std::function<void()> End) {
-    ++Rules.Report.Faults;
-    Rules.Report.Story.push_back(
-        std::to_string(toMillis(Clock::now() - StartedAt)) + " ms: " + Name +
-        " " + On + " for " + std::to_string(Length.count()) + " ms");
-    Open.push_back({Clock::now() + Length, On, std::move(End)});
+  /// Records a fault that has just been injected.
+  void addFault(const std::string &Name, const std::string &Target,
+                Millis Duration, std::function<void()> Revert) {
+    ++Invariants.Report.FaultCount;
+    Invariants.Report.FaultLog.push_back(
+        std::to_string(toMillis(Clock::now() - FaultsStartedAt)) +
+        " ms: " + Name + " " + Target + " for " +
+        std::to_string(Duration.count()) + " ms");
+    ActiveFaults.push_back(
+        {Clock::now() + Duration, Target, std::move(Revert)});
   }
 
-  bool isFree(const std::string &Name) const {
+  bool hasNoFault(const std::string &Name) const {
     bool isFront = Name.starts_with("front-");
-    for (const OpenFault &it : Open)
-      if (it.On == Name || (isFront && it.On == AllFronts))
+    for (const ActiveFault &it : ActiveFaults)
+      if (it.Target == Name || (isFront && it.Target == AllFronts))
         return false;
     return true;
   }
 
-  void endFaults(bool AreAll) {
-    for (size_t i = 0; i < Open.size();) {
-      if (!AreAll && !isPast(Open[i].EndsAt, Clock::now())) {
+  /// Ends the faults whose time has passed, or all of them.
+  void endFaults(bool IncludesUnexpired) {
+    for (size_t i = 0; i < ActiveFaults.size();) {
+      if (!IncludesUnexpired && !isPast(ActiveFaults[i].EndsAt, Clock::now())) {
         ++i;
         continue;
       }
-      OpenFault fault = std::move(Open[i]);
-      Open.erase(Open.begin() + static_cast<std::ptrdiff_t>(i));
-      fault.End();
+      ActiveFault fault = std::move(ActiveFaults[i]);
+      ActiveFaults.erase(ActiveFaults.begin() + static_cast<std::ptrdiff_t>(i));
+      fault.Revert();
     }
   }
 
-  void harm(TimePoint End) {
-    StartedAt = Clock::now();
+  void injectFaults(TimePoint End) {
+    FaultsStartedAt = Clock::now();
     while (!isPast(End, Clock::now())) {
-      std::this_thread::sleep_for(Millis(draw(100, 900)));
+      std::this_thread::sleep_for(Millis(randomInt(100, 900)));
       endFaults(false);
-      checkOwnEnds();
-      int kind = draw(0, 9);
+      checkUnexpectedExits();
+      int kind = randomInt(0, 9);
       if (kind < 3)
-        harmEndpoint();
+        injectEndpointFault();
       else if (kind < 4)
-        harmAgent();
+        killAgent();
       else if (kind == 9)
-        harmAll();
+        killAllFronts();
       else
-        harmFront(1 + draw(0, Fleet.fronts() - 1), kind);
+        injectFrontFault(1 + randomInt(0, Fleet.fronts() - 1), kind);
     }
   }
 
-  void harmEndpoint() {
-    auto index =
-        static_cast<size_t>(draw(0, static_cast<int>(Endpoints.size()) - 1));
+  void injectEndpointFault() {
+    auto index = static_cast<size_t>(
+        randomInt(0, static_cast<int>(Endpoints.size()) - 1));
     std::string name = "endpoint-" + std::to_string(index);
-    if (!isFree(name))
+    if (!hasNoFault(name))
       return;
-    auto fault = static_cast<ProxyFault>(draw(1, 5));
+    auto fault = static_cast<ProxyFault>(randomInt(1, 5));
     FaultProxy &proxy = Endpoints[index]->Proxy;
     proxy.setFault(fault);
-    begin("proxy fault " + std::to_string(static_cast<int>(fault)), name,
-          Millis(draw(200, 2'500)),
-          [&proxy] { proxy.setFault(ProxyFault::None); });
+    addFault("proxy fault " + std::to_string(static_cast<int>(fault)), name,
+             Millis(randomInt(200, 2'500)),
+             [&proxy] { proxy.setFault(ProxyFault::None); });
   }
 
-  void harmAgent() {
-    int host = FirstEngineHost + draw(0, EngineCount - 1);
+  void killAgent() {
+    int host = FirstEngineHost + randomInt(0, EngineCount - 1);
     std::string name = FrontFleet::agentName(host);
-    if (!isFree(name))
+    if (!hasNoFault(name))
       return;
     Fleet.kill(name);
-    begin("kill", name, Millis(draw(100, 1'500)),
-          [this, host] { Fleet.startAgent(host, Fleet.at(host, ProxyPort)); });
+    addFault("kill", name, Millis(randomInt(100, 1'500)), [this, host] {
+      Fleet.startAgent(host, Fleet.at(host, ProxyPort));
+    });
   }
 
-  void harmFront(int Host, int Kind) {
+  void injectFrontFault(int Host, int Kind) {
     std::string name = FrontFleet::frontName(Host);
-    if (!isFree(name))
+    if (!hasNoFault(name))
       return;
-    Millis length(draw(100, 2'500));
+    Millis duration(randomInt(100, 2'500));
     if (Kind == 4) {
       Fleet.signal(name, SIGSTOP);
-      begin("pause", name, length,
-            [this, name] { Fleet.signal(name, SIGCONT); });
+      addFault("pause", name, duration,
+               [this, name] { Fleet.signal(name, SIGCONT); });
       return;
     }
-    bool isWipe = Kind == 5 && mayWipe(Host);
+    bool losesDisk = Kind == 5 && mayLoseDisk(Host);
     if (Kind == 6)
       Fleet.signal(name, SIGTERM);
     else
       Fleet.kill(name);
-    if (isWipe) {
+    if (losesDisk) {
       Fleet.loseDisk(Host);
-      NextWipe = Clock::now() + WipePause;
+      NextDiskLossAt = Clock::now() + MinDiskLossInterval;
     }
-    begin(isWipe ? "lost disk" : (Kind == 6 ? "stop" : "kill"), name, length,
-          [this, name, Host, Kind] {
-            if (Kind == 6)
-              endStop(name);
-            Fleet.start(Host, false);
-          });
+    addFault(losesDisk ? "lost disk" : (Kind == 6 ? "stop" : "kill"), name,
+             duration, [this, name, Host, Kind] {
+               if (Kind == 6)
+                 finishStop(name);
+               Fleet.start(Host, false);
+             });
   }
 
-  /// The operators' rule: no disk is given up while the group bears no loss.
-  bool mayWipe(int Host) {
-    if (Host > Fleet.disks() || !isPast(NextWipe, Clock::now()))
+  /// Returns whether the disk of \p Host may be lost now. As operators must, it
+  /// requires a group that can tolerate the loss of a disk.
+  bool mayLoseDisk(int Host) {
+    if (Host > Fleet.disks() || !isPast(NextDiskLossAt, Clock::now()))
       return false;
     return Fleet.ctl("status").Out.find("losses borne now: 1") !=
            std::string::npos;
   }
 
-  void endStop(const std::string &Name) {
+  /// Waits for a process that was sent SIGTERM and checks its exit code. Kills
+  /// the process if it still runs after 10 s.
+  void finishStop(const std::string &Name) {
     int code = Fleet.waitForExit(Name, seconds(10));
-    Rules.check(code == 0, Name + ": did not stop by itself, code " +
-                               std::to_string(code));
+    Invariants.check(code == 0,
+                     Name + ": did not exit with code 0 after SIGTERM, code " +
+                         std::to_string(code));
     if (code == -1)
       Fleet.kill(Name);
   }
 
-  void harmAll() {
-    if (!Open.empty())
+  void killAllFronts() {
+    if (!ActiveFaults.empty())
       return;
     for (int i = 1; i <= Fleet.fronts(); ++i)
       Fleet.kill(FrontFleet::frontName(i));
-    begin("kill", AllFronts, Millis(draw(50, 800)), [this] {
+    addFault("kill", AllFronts, Millis(randomInt(50, 800)), [this] {
       for (int i = 1; i <= Fleet.fronts(); ++i)
         Fleet.start(i, false);
     });
   }
 
-  void checkOwnEnds() {
+  /// Checks that every process without an active fault is still running.
+  void checkUnexpectedExits() {
     for (const std::string &it : Fleet.processes())
-      if (isFree(it))
-        Rules.check(Fleet.isRunning(it), it + ": ended by itself");
+      if (hasNoFault(it))
+        Invariants.check(Fleet.isRunning(it), it + ": exited without a fault");
   }
 
-  // ---- The end ----
+  // ---- Recovery ----
 
-  void heal() {
+  void checkRecovery() {
     endFaults(true);
     for (int i = 1; i <= Fleet.fronts(); ++i) {
       std::string name = FrontFleet::frontName(i);
       int n = 0;
-      bool isServing = waitUntil(HealLimit, [&] {
+      bool isServing = waitUntil(RecoveryTimeout, [&] {
         std::string id = name + "-healed-" + std::to_string(n++);
         CallerAnswer stream =
-            call(Fleet.callers(i), "/p/x", id, "warm", "secret-key");
-        Rules.note(id, stream);
+            sendRequest(Fleet.callers(i), "/p/x", id, "warm", "secret-key");
+        Invariants.recordResponse(id, stream);
         std::string once = id + "-once";
         CallerAnswer desk =
-            call(Fleet.callers(i), "/d/x", once, "", "secret-key");
-        Rules.note(once, desk);
+            sendRequest(Fleet.callers(i), "/d/x", once, "", "secret-key");
+        Invariants.recordResponse(once, desk);
         return stream.Status == 200 && desk.Status == 200;
       });
-      Rules.check(isServing, name + ": does not serve after all is healed");
+      Invariants.check(isServing,
+                       name + ": does not serve after all faults have ended");
     }
-    bool isKept = waitUntil(
-        HealLimit, [&] { return readVersion() >= Rules.acknowledged(); });
-    Rules.check(isKept, "table " + std::to_string(Rules.acknowledged()) +
-                            " was acknowledged and is gone");
+    bool isTableKept = waitUntil(RecoveryTimeout, [&] {
+      return readTableVersion() >= Invariants.acknowledgedVersion();
+    });
+    Invariants.check(isTableKept,
+                     "table " +
+                         std::to_string(Invariants.acknowledgedVersion()) +
+                         " was acknowledged but is lost");
   }
 
-  /// Version of the table as an operator reads it, 0 when nobody tells.
-  int readVersion() {
+  /// Returns the version of the table that an operator reads, or 0 if it cannot
+  /// be read.
+  int readTableVersion() {
     std::string text = Fleet.readTable(1);
     size_t at = text.find("\"version\":");
     return at == std::string::npos ? 0 : std::atoi(text.c_str() + at + 10);
@@ -419,18 +446,18 @@
   std::mt19937_64 Random;
   FrontFleet Fleet;
   std::vector<std::unique_ptr<SoakEndpoint>> Endpoints;
-  Promises Rules;
-  std::vector<OpenFault> Open;
-  TimePoint StartedAt;
-  TimePoint NextWipe;
-  std::atomic<bool> IsOver{false};
+  InvariantChecker Invariants;
+  std::vector<ActiveFault> ActiveFaults;
+  TimePoint FaultsStartedAt;
+  TimePoint NextDiskLossAt;
+  std::atomic<bool> IsStopped{false};
 };
 
 } // namespace
 
-SoakReport runSoak(uint64_t Seed, seconds Length) {
+SoakReport runSoak(uint64_t Seed, seconds Duration) {
   Soak soak(Seed);
-  return soak.run(Length);
+  return soak.run(Duration);
 }
 
 } // namespace sassafras
--- a/tests/soak/soak_run.h
+++ b/tests/soak/soak_run.h
@@ -1,7 +1,7 @@
 /// \file
-/// One seeded run of a small fleet of real processes under faults from
-/// outside, with callers, an operator and the promises checked from what they
-/// and the endpoints see.
+/// One seeded run of a small fleet of real processes under injected faults,
+/// with callers and an operator. The invariants are checked against what
+/// callers, the operator and the endpoints observe.
 #ifndef SASSAFRAS_TESTS_SOAK_SOAK_RUN_H
 #define SASSAFRAS_TESTS_SOAK_SOAK_RUN_H
 
@@ -13,17 +13,22 @@
 namespace sassafras {
 
 struct SoakReport {
-  uint64_t Asked = 0;
-  uint64_t Answered = 0; ///< Whole successes.
-  uint64_t Refused = 0;  ///< With the promise that they did not run.
-  uint64_t Faults = 0;
+  uint64_t Requests = 0;  ///< Without those sent with a wrong key.
+  uint64_t Succeeded = 0; ///< Complete responses with status 200.
+  /// Complete responses with 429 or 503, which state that the request did not
+  /// run.
+  uint64_t Refused = 0;
+  uint64_t FaultCount = 0;
   uint64_t TablesAcknowledged = 0;
-  std::vector<std::string> Broken; ///< One line for each broken promise.
-  std::vector<std::string> Story;  ///< Faults with their times.
+  /// One line for each violated invariant.
+  std::vector<std::string> Violations;
+  /// Injected faults with their start times.
+  std::vector<std::string> FaultLog;
 };
 
-/// Runs faults for \p Length, heals all, and checks what must hold then too.
-SoakReport runSoak(uint64_t Seed, std::chrono::seconds Length);
+/// Injects faults for \p Duration, ends them all, and checks the invariants
+/// during the faults and after recovery.
+SoakReport runSoak(uint64_t Seed, std::chrono::seconds Duration);
 
 } // namespace sassafras
 
--- a/tests/soak/test_soak.cpp
+++ b/tests/soak/test_soak.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// A short soak with fixed seeds, and each seed that ever failed.
+/// Short soak runs with a fixed seed and with every seed that failed before.
 #include "tests/soak/soak_run.h"
 
 #include <catch2/catch.hpp>
@@ -8,26 +8,27 @@
 
 namespace {
 
-void checkSeed(uint64_t Seed, std::chrono::seconds Length) {
-  SoakReport report = runSoak(Seed, Length);
-  INFO("seed " << Seed << ", " << report.Faults << " faults");
-  for (const std::string &it : report.Story)
+void checkSeed(uint64_t Seed, std::chrono::seconds Duration) {
+  SoakReport report = runSoak(Seed, Duration);
+  INFO("seed " << Seed << ", " << report.FaultCount << " faults");
+  for (const std::string &it : report.FaultLog)
     UNSCOPED_INFO(it);
-  for (const std::string &it : report.Broken)
-    UNSCOPED_INFO("broken: " << it);
-  CHECK(report.Broken.empty());
-  CHECK(report.Answered > 0);
+  for (const std::string &it : report.Violations)
+    UNSCOPED_INFO("violation: " << it);
+  CHECK(report.Violations.empty());
+  CHECK(report.Succeeded > 0);
 }
 
 } // namespace
 
-TEST_CASE("promises hold under a short soak") {
+TEST_CASE("invariants hold under a short soak") {
   checkSeed(1, std::chrono::seconds(8));
 }
 
-TEST_CASE("soak keeps its promises on seeds that once failed") {
-  // A front whose sends to a plain endpoint were cut took it for full for
-  // good: a report of its load never ended, and sends counted beyond their end.
+TEST_CASE("invariants hold under a soak with seeds that once failed") {
+  // A front whose sends to a plain endpoint were cut off considered it full
+  // forever: a report of the endpoint's load never expired, and sends were
+  // still counted after they had ended.
   for (uint64_t seed : {2, 3, 4})
     checkSeed(seed, std::chrono::seconds(8));
 }
