--- a/tests/soak/fault_proxy.cpp
+++ b/tests/soak/fault_proxy.cpp
@@ -31,7 +31,7 @@
   ProxyConnection(asio::io_context &Io, const std::atomic<ProxyFault> &Fault)
       : Caller(Io), Target(Io), Fault(Fault) {}
 
-  void close() {
+  void closeBoth() {
     boost::system::error_code ec;
     // A linger time of 0 makes a close discard unread and unsent bytes and
     // reset the connection at the peer.
@@ -49,7 +49,7 @@
                          [self = shared_from_this(), &From, &To, BlockingFault,
                           &Buffer](auto ec, size_t n) {
                            if (ec)
-                             self->close();
+                             self->closeBoth();
                            else
                              self->forward(From, To, BlockingFault, Buffer, n);
                          });
@@ -81,7 +81,7 @@
                       [self = shared_from_this(), &From, &To, BlockingFault,
                        &Buffer](auto ec, size_t) {
                         if (ec)
-                          self->close();
+                          self->closeBoth();
                         else
                           self->readAndForward(From, To, BlockingFault, Buffer);
                       });
@@ -110,7 +110,7 @@
         return;
       Connections.push_back(connection);
       if (Fault == ProxyFault::Reset)
-        connection->close();
+        connection->closeBoth();
       else
         connect(connection);
       accept();
@@ -120,7 +120,7 @@
   void connect(const std::shared_ptr<ProxyConnection> &Connection) {
     Connection->Target.async_connect(Target, [Connection](auto ec) {
       if (ec) {
-        Connection->close();
+        Connection->closeBoth();
         return;
       }
       Connection->readAndForward(Connection->Caller, Connection->Target,
@@ -155,7 +155,7 @@
       return;
     for (const std::weak_ptr<ProxyConnection> &it : data->Connections)
       if (auto connection = it.lock())
-        connection->close();
+        connection->closeBoth();
     data->Connections.clear();
   });
 }
