--- a/tests/process/test_fronts.cpp
+++ b/tests/process/test_fronts.cpp
@@ -1,7 +1,7 @@
 /// \file
-/// Fronts and an engine agent as real processes, in front of a stand-in for
-/// the platform's engine: the whole path, and what must hold when a process
-/// is killed or stopped.
+/// Runs fronts and an engine agent as real processes with a fake engine of the
+/// platform: the whole request path, and what must hold when a process is
+/// killed or stopped.
 #include "tests/harness/front_fleet.h"
 
 #include <catch2/catch.hpp>
@@ -11,19 +11,20 @@
 using namespace sassafras;
 using std::chrono::seconds;
 
-TEST_CASE("fronts serve streams, keep keys and load cold models") {
+TEST_CASE(
+    "fronts serve streams, withhold keys from engines and load cold models") {
   ServedFleet test;
   for (int i = 1; i <= test.Fleet.frontCount(); ++i) {
     INFO("front " << i);
     std::string id = "id-" + std::to_string(i);
-    CallerResponse answer;
+    CallerResponse response;
     REQUIRE(waitUntil(seconds(10), [&] {
-      answer = sendCallerRequest(test.Fleet.callerAddress(i), id, "warm");
-      return answer.Status == 200;
+      response = sendCallerRequest(test.Fleet.callerAddress(i), id, "warm");
+      return response.Status == 200;
     }));
-    CHECK(answer.IsComplete);
-    CHECK(answer.Body.find("id: 10\n") != std::string::npos);
-    CHECK(fieldOf(answer.Fields, "sassafrasseam-response-seal") == "seal");
+    CHECK(response.IsComplete);
+    CHECK(response.Body.find("id: 10\n") != std::string::npos);
+    CHECK(fieldOf(response.Fields, "sassafrasseam-response-seal") == "seal");
   }
   for (const ReceivedRequest &it : test.Engine.receivedRequests()) {
     CHECK(it.Body == "body");
@@ -44,8 +45,8 @@
   CHECK(test.Engine.countOrders() > orders);
 }
 
-TEST_CASE("table that was acknowledged outlives its leader and is in force "
-          "everywhere") {
+TEST_CASE("acknowledged table survives the loss of its leader and takes effect "
+          "on all fronts") {
   ServedFleet test;
   for (int version = 2; version <= 4; ++version) {
     int killed = version - 1;
@@ -69,7 +70,7 @@
   CHECK(test.Fleet.putTable(4, "nonsense") == 400);
 }
 
-TEST_CASE("draining endpoint gets no new work from any front") {
+TEST_CASE("draining endpoint gets no new requests from any front") {
   ServedFleet test;
   REQUIRE(waitUntil(seconds(10), [&] {
     return sendCallerRequest(test.Fleet.callerAddress(4), "before", "warm")
@@ -78,29 +79,30 @@
   test.stopAnnouncing();
   REQUIRE(test.Engine.announce(test.Fleet.controlAddress(2), true));
   std::this_thread::sleep_for(Millis(500));
-  size_t seen = test.Engine.receivedRequests().size();
+  size_t receivedCount = test.Engine.receivedRequests().size();
   for (int i = 1; i <= test.Fleet.frontCount(); ++i)
     CHECK(sendCallerRequest(test.Fleet.callerAddress(i), "after", "warm")
               .Status == 503);
-  CHECK(test.Engine.receivedRequests().size() == seen);
+  CHECK(test.Engine.receivedRequests().size() == receivedCount);
 }
 
-TEST_CASE("stop lets a running stream end and refuses nothing midway") {
+TEST_CASE("stopping front completes a running stream") {
   ServedFleet test;
   test.Engine.setEventInterval(Millis(300));
   REQUIRE(waitUntil(seconds(10), [&] {
     return sendCallerRequest(test.Fleet.callerAddress(4), "first", "warm")
                .Status == 200;
   }));
-  CallerResponse answer;
+  CallerResponse response;
   std::thread caller([&] {
-    answer = sendCallerRequest(test.Fleet.callerAddress(4), "running", "warm");
+    response =
+        sendCallerRequest(test.Fleet.callerAddress(4), "running", "warm");
   });
   std::this_thread::sleep_for(Millis(600));
   test.Fleet.signal(FrontFleet::frontName(4), SIGTERM);
   CHECK(waitUntil(seconds(2), [&] { return !test.Fleet.isReady(4); }));
   caller.join();
-  CHECK(answer.IsComplete);
-  CHECK(answer.Body.find("id: 10\n") != std::string::npos);
+  CHECK(response.IsComplete);
+  CHECK(response.Body.find("id: 10\n") != std::string::npos);
   CHECK(test.Fleet.waitForExit(FrontFleet::frontName(4), seconds(8)) == 0);
 }
