--- a/bench/site.cpp
+++ b/bench/site.cpp
@@ -279,7 +279,7 @@
     else
       refundCharge(bank, it.tenant(), it.unspent(),
                    Now - Millis(it.charged_ago_ms()), rateOf(it.tenant()), Now);
-  for (const wire::TenantGrant &it : Request.wanted()) {
+  for (const wire::OrganisationGrantRequest &it : Request.wanted()) {
     auto grant = issueGrant(bank, it.tenant(), rateOf(it.tenant()),
                             {"e", it.tokens(), it.least()}, Now);
     if (!grant)
--- a/control/leadership.cpp
+++ b/control/leadership.cpp
@@ -48,7 +48,7 @@
   wire::Envelope message;
   wire::GrantReply &reply = *message.mutable_grant_reply();
   reply.set_number(request.number());
-  for (const wire::TenantGrant &it : request.wanted()) {
+  for (const wire::OrganisationGrantRequest &it : request.wanted()) {
     auto grant =
         issueGrant(State.Buckets, it.tenant(), rateOf(State, it.tenant()),
                    {Message.from(), it.tokens(), it.least()}, Now);
--- a/engine_agent/engine_orders.cpp
+++ b/engine_agent/engine_orders.cpp
@@ -173,7 +173,7 @@
 }
 
 void acceptAdapterRequest(EngineAgentState &State,
-                          const wire::AdapterWish &Request, TimePoint Now) {
+                          const wire::AdapterRequest &Request, TimePoint Now) {
   State.Sizes = Request.sizes();
   State.AdapterLastUse[Request.model() + '/' + Request.adapter()] = Now;
   for (AdapterGoal &it : State.Adapters)
--- a/engine_agent/engine_orders.h
+++ b/engine_agent/engine_orders.h
@@ -77,7 +77,7 @@
 /// Records the use of an adapter and requests its load. Repeating a request
 /// renews its lifetime.
 void acceptAdapterRequest(EngineAgentState &State,
-                          const wire::AdapterWish &Request, TimePoint Now);
+                          const wire::AdapterRequest &Request, TimePoint Now);
 /// Stores the engine's state. A changed start time means a new engine process
 /// and ends the goal.
 void applyEngineReport(EngineAgentState &State,
--- a/fleet/endpoint_directory.cpp
+++ b/fleet/endpoint_directory.cpp
@@ -6,38 +6,39 @@
 
 namespace {
 
-/// True when \p Sighting is older than what is known under its id, or is of an
-/// earlier process than the one at its address.
+/// True when \p Observation is older than what is known under its id, or is of
+/// an earlier process than the one at its address.
 bool isOutdated(const EndpointDirectory &Directory,
-                const wire::EndpointSighting &Sighting) {
-  auto known = Directory.Endpoints.find(Sighting.id());
+                const wire::EndpointObservation &Observation) {
+  auto known = Directory.Endpoints.find(Observation.id());
   if (known != Directory.Endpoints.end()) {
     const KnownEndpoint &it = known->second;
     // A leave notice may lack both the process's start time and a sequence.
-    if (Sighting.has_left() && Sighting.born_ms() == 0)
+    if (Observation.has_left() && Observation.born_ms() == 0)
       return false;
-    if (Sighting.born_ms() != it.BornMs)
-      return Sighting.born_ms() < it.BornMs;
-    if (Sighting.has_left())
+    if (Observation.born_ms() != it.BornMs)
+      return Observation.born_ms() < it.BornMs;
+    if (Observation.has_left())
       return false;
-    return it.HasLeft || Sighting.sequence() < it.Sequence;
+    return it.HasLeft || Observation.sequence() < it.Sequence;
   }
-  auto owner = Directory.IdByAddress.find(Sighting.address());
-  if (Sighting.address().empty() || owner == Directory.IdByAddress.end())
+  auto owner = Directory.IdByAddress.find(Observation.address());
+  if (Observation.address().empty() || owner == Directory.IdByAddress.end())
     return false;
   auto other = Directory.Endpoints.find(owner->second);
   return other != Directory.Endpoints.end() &&
-         Sighting.born_ms() < other->second.BornMs;
+         Observation.born_ms() < other->second.BornMs;
 }
 
-void readEngineState(const wire::EndpointSighting &Sighting, TimePoint ReadAt,
-                     EngineState &Out) {
+void readEngineState(const wire::EndpointObservation &Observation,
+                     TimePoint ReadAt, EngineState &Out) {
   Out = {};
   Out.ReadAt = ReadAt;
-  for (const wire::LoadedModel &it : Sighting.models())
+  for (const wire::LoadedModel &it : Observation.models())
     Out.Models[it.name()] = {it.adapters().begin(), it.adapters().end()};
-  Out.InMemory = {Sighting.in_memory().begin(), Sighting.in_memory().end()};
-  Out.OnDisk = {Sighting.on_disk().begin(), Sighting.on_disk().end()};
+  Out.InMemory = {Observation.in_memory().begin(),
+                  Observation.in_memory().end()};
+  Out.OnDisk = {Observation.on_disk().begin(), Observation.on_disk().end()};
   // An announcement passed on by another front may not list weights.
   Out.HasWeightLocations = !Out.InMemory.empty() || !Out.OnDisk.empty();
 }
@@ -64,65 +65,65 @@
   return owner != Directory.IdByAddress.end() && owner->second == Endpoint.Id;
 }
 
-SightingResult applyLeave(EndpointDirectory &Directory,
-                          const wire::EndpointSighting &Sighting,
-                          TimePoint Now) {
-  auto it = Directory.Endpoints.find(Sighting.id());
+ObservationResult applyLeave(EndpointDirectory &Directory,
+                             const wire::EndpointObservation &Observation,
+                             TimePoint Now) {
+  auto it = Directory.Endpoints.find(Observation.id());
   if (it == Directory.Endpoints.end()) {
     KnownEndpoint left;
-    left.Id = Sighting.id();
-    left.BornMs = Sighting.born_ms();
+    left.Id = Observation.id();
+    left.BornMs = Observation.born_ms();
     left.HasLeft = true;
     left.HeardAt = Now;
     Directory.Endpoints.emplace(left.Id, left);
-    return SightingResult::Changed;
+    return ObservationResult::Changed;
   }
   bool isNew = !it->second.HasLeft;
   it->second.HasLeft = true;
   if (isNew)
     it->second.HeardAt = Now;
-  return isNew ? SightingResult::Changed : SightingResult::Refreshed;
+  return isNew ? ObservationResult::Changed : ObservationResult::Refreshed;
 }
 
 } // namespace
 
-SightingResult applySighting(EndpointDirectory &Directory,
-                             const wire::EndpointSighting &Sighting,
-                             TimePoint Now) {
-  if (Sighting.id().empty() || isOutdated(Directory, Sighting))
-    return SightingResult::Ignored;
-  if (Sighting.has_left())
-    return applyLeave(Directory, Sighting, Now);
-  TimePoint heardAt = Now - Millis(Sighting.heard_ago_ms());
-  KnownEndpoint &known = Directory.Endpoints[Sighting.id()];
-  bool isNew = known.Id.empty() || known.BornMs != Sighting.born_ms();
+ObservationResult applyObservation(EndpointDirectory &Directory,
+                                   const wire::EndpointObservation &Observation,
+                                   TimePoint Now) {
+  if (Observation.id().empty() || isOutdated(Directory, Observation))
+    return ObservationResult::Ignored;
+  if (Observation.has_left())
+    return applyLeave(Directory, Observation, Now);
+  TimePoint heardAt = Now - Millis(Observation.heard_ago_ms());
+  KnownEndpoint &known = Directory.Endpoints[Observation.id()];
+  bool isNew = known.Id.empty() || known.BornMs != Observation.born_ms();
   // The sequence orders the announcements of one process.
-  if (!isNew && Sighting.sequence() == known.Sequence) {
+  if (!isNew && Observation.sequence() == known.Sequence) {
     known.HeardAt = std::max(known.HeardAt, heardAt);
-    return SightingResult::Ignored;
+    return ObservationResult::Ignored;
   }
   if (isNew) {
     known = {};
-    Directory.Announced.erase(Sighting.id());
+    Directory.Announced.erase(Observation.id());
   }
-  bool isChanged = isNew || known.IsDraining != Sighting.is_draining() ||
-                   known.Address != Sighting.address();
-  known.Id = Sighting.id();
-  known.Service = Sighting.service();
-  known.Address = Sighting.address();
-  known.Zone = Sighting.zone();
-  known.BornMs = Sighting.born_ms();
-  known.Sequence = Sighting.sequence();
-  known.Slots = std::max<uint32_t>(Sighting.slots(), 1);
-  known.IsDraining = Sighting.is_draining();
+  bool isChanged = isNew || known.IsDraining != Observation.is_draining() ||
+                   known.Address != Observation.address();
+  known.Id = Observation.id();
+  known.Service = Observation.service();
+  known.Address = Observation.address();
+  known.Zone = Observation.zone();
+  known.BornMs = Observation.born_ms();
+  known.Sequence = Observation.sequence();
+  known.Slots = std::max<uint32_t>(Observation.slots(), 1);
+  known.IsDraining = Observation.is_draining();
   known.HeardAt = std::max(known.HeardAt, heardAt);
-  known.WarmingUpUntil = heardAt + Millis(Sighting.cold_left_ms());
-  if (Sighting.remaining_ms() > 0 && known.TerminatesAt == TimePoint())
-    known.TerminatesAt = heardAt + Millis(Sighting.remaining_ms());
-  if (Sighting.has_models())
-    readEngineState(Sighting, heardAt, Directory.Announced[known.Id]);
+  known.WarmingUpUntil = heardAt + Millis(Observation.cold_left_ms());
+  if (Observation.remaining_ms() > 0 && known.TerminatesAt == TimePoint())
+    known.TerminatesAt = heardAt + Millis(Observation.remaining_ms());
+  if (Observation.has_models())
+    readEngineState(Observation, heardAt, Directory.Announced[known.Id]);
   assignAddress(Directory, known);
-  return isChanged ? SightingResult::Changed : SightingResult::Refreshed;
+  return isChanged ? ObservationResult::Changed : ObservationResult::Refreshed;
 }
 
 bool applyReport(EndpointDirectory &Directory, const wire::EngineReport &Report,
@@ -226,37 +227,37 @@
   return digest;
 }
 
-std::vector<wire::EndpointSighting>
-makeSightings(const EndpointDirectory &Directory, TimePoint Now) {
-  std::vector<wire::EndpointSighting> out;
+std::vector<wire::EndpointObservation>
+makeObservations(const EndpointDirectory &Directory, TimePoint Now) {
+  std::vector<wire::EndpointObservation> out;
   for (const auto &[id, it] : Directory.Endpoints) {
     if (!ownsAddress(Directory, it))
       continue;
-    wire::EndpointSighting sighting;
-    sighting.set_id(id);
-    sighting.set_service(it.Service);
-    sighting.set_address(it.Address);
-    sighting.set_zone(it.Zone);
-    sighting.set_born_ms(it.BornMs);
-    sighting.set_sequence(it.Sequence);
-    sighting.set_slots(it.Slots);
-    sighting.set_is_draining(it.IsDraining);
-    sighting.set_has_left(it.HasLeft);
-    sighting.set_heard_ago_ms(toMillis(Now - it.HeardAt));
+    wire::EndpointObservation observation;
+    observation.set_id(id);
+    observation.set_service(it.Service);
+    observation.set_address(it.Address);
+    observation.set_zone(it.Zone);
+    observation.set_born_ms(it.BornMs);
+    observation.set_sequence(it.Sequence);
+    observation.set_slots(it.Slots);
+    observation.set_is_draining(it.IsDraining);
+    observation.set_has_left(it.HasLeft);
+    observation.set_heard_ago_ms(toMillis(Now - it.HeardAt));
     if (it.TerminatesAt != TimePoint())
-      sighting.set_remaining_ms(std::max<uint64_t>(
-          toMillis(it.TerminatesAt - Now) + sighting.heard_ago_ms(), 1));
+      observation.set_remaining_ms(std::max<uint64_t>(
+          toMillis(it.TerminatesAt - Now) + observation.heard_ago_ms(), 1));
     auto announced = Directory.Announced.find(id);
     if (announced != Directory.Announced.end()) {
-      sighting.set_has_models(true);
+      observation.set_has_models(true);
       for (const auto &[model, adapters] : announced->second.Models) {
-        wire::LoadedModel &loaded = *sighting.add_models();
+        wire::LoadedModel &loaded = *observation.add_models();
         loaded.set_name(model);
         for (const std::string &adapter : adapters)
           loaded.add_adapters(adapter);
       }
     }
-    out.push_back(std::move(sighting));
+    out.push_back(std::move(observation));
   }
   return out;
 }
--- a/fleet/endpoint_directory.h
+++ b/fleet/endpoint_directory.h
@@ -76,17 +76,17 @@
   std::map<std::string, EngineState> Announced;    ///< By id.
 };
 
-/// Effect of a sighting on the directory.
-enum class SightingResult {
+/// Effect of an observation on the directory.
+enum class ObservationResult {
   Ignored,   ///< Outdated, or a repeat of the last announcement.
   Refreshed, ///< Newer, without a change that others need.
   Changed,   ///< New or left, or its address or draining state differs.
 };
 
-/// Applies a sighting of an endpoint, made here or at another front.
-SightingResult applySighting(EndpointDirectory &Directory,
-                             const wire::EndpointSighting &Sighting,
-                             TimePoint Now);
+/// Applies an observation of an endpoint, made here or at another front.
+ObservationResult applyObservation(EndpointDirectory &Directory,
+                                   const wire::EndpointObservation &Observation,
+                                   TimePoint Now);
 /// Applies an agent's report. False when a newer one is known, or when the
 /// first report of an agent process has load figures only.
 bool applyReport(EndpointDirectory &Directory, const wire::EngineReport &Report,
@@ -105,10 +105,10 @@
 /// Digest over identity and draining state of the current endpoints; equal at
 /// fronts with the same knowledge.
 uint64_t digestEndpoints(const EndpointDirectory &Directory);
-/// All known endpoints, those that have left included, as sightings that
+/// All known endpoints, those that have left included, as observations that
 /// another front can apply.
-std::vector<wire::EndpointSighting>
-makeSightings(const EndpointDirectory &Directory, TimePoint Now);
+std::vector<wire::EndpointObservation>
+makeObservations(const EndpointDirectory &Directory, TimePoint Now);
 
 } // namespace sassafras
 
--- a/fleet/fleet_state.cpp
+++ b/fleet/fleet_state.cpp
@@ -91,11 +91,11 @@
   return accepted(State, Index);
 }
 
-ProposalReply apply(FleetState &State, const wire::KeyWithdraw &Withdraw,
+ProposalReply apply(FleetState &State, const wire::KeyWithdrawal &Withdrawal,
                     uint64_t Index) {
-  std::string name = keyItemName(Withdraw.key_id());
+  std::string name = keyItemName(Withdrawal.key_id());
   if (!State.Items.find(name))
-    return invalid(State, "no key " + Withdraw.key_id());
+    return invalid(State, "no key " + Withdrawal.key_id());
   State.Items.erase(name, Index);
   return accepted(State, Index);
 }
@@ -276,7 +276,7 @@
     if (old->death().expires_ms() > State.FleetTimeMs)
       item = *old;
   item.set_name(deathItemName(Digest));
-  wire::Death &death = *item.mutable_death();
+  wire::DigestDeaths &death = *item.mutable_death();
   const auto &known = death.deaths();
   if (std::find(known.begin(), known.end(), DeathName) != known.end())
     return;
--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -320,9 +320,10 @@
 
 /// Requests from the leader the tokens that the waiting requests lack. Returns
 /// nothing while a previous request is unanswered.
-std::optional<wire::QuotaWish> requestTokens(LocalQuota &Quota,
-                                             const FrontRequest &Request,
-                                             bool IsFavoured, TimePoint Now) {
+std::optional<wire::QuotaRequest> requestTokens(LocalQuota &Quota,
+                                                const FrontRequest &Request,
+                                                bool IsFavoured,
+                                                TimePoint Now) {
   Quota.WaitingCosts[Request.Number] = Request.Cost;
   if (Quota.PoolRequestedAt != TimePoint())
     return std::nullopt;
@@ -330,7 +331,7 @@
   double wanted = 0;
   for (const auto &[number, cost] : Quota.WaitingCosts)
     wanted += cost;
-  wire::QuotaWish out;
+  wire::QuotaRequest out;
   out.set_organisation(Request.Organisation);
   out.set_wanted(std::max(0.0, wanted - Quota.Level));
   out.set_least(std::max(0.0, Request.Cost - Quota.Level));
@@ -354,7 +355,7 @@
 /// must wait or is refused.
 std::optional<DispatchDecision>
 chargeQuota(FrontState &State, FrontRequest &Request, TimePoint Now,
-            std::optional<wire::QuotaWish> &TokenRequest) {
+            std::optional<wire::QuotaRequest> &TokenRequest) {
   if (Request.IsCharged || Request.Organisation.empty())
     return std::nullopt;
   // The limit in force now applies, not the one at arrival.
@@ -453,7 +454,7 @@
                      {}};
     return out;
   }
-  if (auto decision = chargeQuota(State, Request, Now, out.QuotaRequest)) {
+  if (auto decision = chargeQuota(State, Request, Now, out.PoolQuotaRequest)) {
     out.Decision = *decision;
     return out;
   }
--- a/front/dispatch.h
+++ b/front/dispatch.h
@@ -35,7 +35,7 @@
 /// A request to an engine's agent to load an adapter.
 struct AdapterLoadRequest {
   std::string Agent; ///< Address of its link.
-  wire::AdapterWish Payload;
+  wire::AdapterRequest Payload;
 };
 
 using DispatchDecision = std::variant<SendTo, WaitUntil, FrontRefusal>;
@@ -48,7 +48,7 @@
   /// Demand to report to the leader without waiting for the next heartbeat.
   std::optional<wire::RowDemand> DemandReport;
   /// Quota tokens to request from the leader now.
-  std::optional<wire::QuotaWish> QuotaRequest;
+  std::optional<wire::QuotaRequest> PoolQuotaRequest;
 };
 
 /// Decides on a request that is not at an endpoint. Charges its organisation's
--- a/front/fleet_api.cpp
+++ b/front/fleet_api.cpp
@@ -44,20 +44,21 @@
   if (auto *announcement = std::get_if<platform::Announcement>(&call)) {
     TimePoint now = Clock::now();
     NodeMessages out;
-    SightingResult result = handleAnnouncement(
-        Deps.Core.State, Deps.Gossip, announcement->Sighting, now, out);
-    if (result != SightingResult::Refreshed)
-      logEvent(LogLevel::Info,
-               result == SightingResult::Changed ? "endpoint_changed"
-                                                 : "announcement_ignored",
-               {{"endpoint", announcement->Sighting.id()},
-                {"address", announcement->Sighting.address()},
-                {"service", announcement->Sighting.service()},
-                {"sequence", std::to_string(announcement->Sighting.sequence())},
-                {"born", std::to_string(announcement->Sighting.born_ms())},
-                {"state", announcement->Sighting.has_left()      ? "left"
-                          : announcement->Sighting.is_draining() ? "draining"
-                                                                 : "ready"}});
+    ObservationResult result = handleAnnouncement(
+        Deps.Core.State, Deps.Gossip, announcement->Observation, now, out);
+    if (result != ObservationResult::Refreshed)
+      logEvent(
+          LogLevel::Info,
+          result == ObservationResult::Changed ? "endpoint_changed"
+                                               : "announcement_ignored",
+          {{"endpoint", announcement->Observation.id()},
+           {"address", announcement->Observation.address()},
+           {"service", announcement->Observation.service()},
+           {"sequence", std::to_string(announcement->Observation.sequence())},
+           {"born", std::to_string(announcement->Observation.born_ms())},
+           {"state", announcement->Observation.has_left()      ? "left"
+                     : announcement->Observation.is_draining() ? "draining"
+                                                               : "ready"}});
     Deps.Core.Send(std::move(out));
     Exchange->respond(StatusOk, jsonHeaders(), "{}\n");
   } else if (std::holds_alternative<platform::PutTable>(call)) {
--- a/front/fleet_view.cpp
+++ b/front/fleet_view.cpp
@@ -35,26 +35,26 @@
   return out;
 }
 
-uint64_t digestModels(const wire::EndpointSighting &Sighting) {
+uint64_t digestModels(const wire::EndpointObservation &Observation) {
   uint64_t digest = 1;
-  for (const wire::LoadedModel &it : Sighting.models())
+  for (const wire::LoadedModel &it : Observation.models())
     digest += checksumOf(it.SerializeAsString());
   return digest;
 }
 
-/// Removes the models from a sighting when they are the same as those sent last
-/// for this endpoint.
+/// Removes the models from an observation when they are the same as those sent
+/// last for this endpoint.
 void dropUnchangedModels(GossipState &Gossip,
-                         wire::EndpointSighting &Sighting) {
-  if (!Sighting.has_models())
+                         wire::EndpointObservation &Observation) {
+  if (!Observation.has_models())
     return;
-  uint64_t digest = digestModels(Sighting);
-  uint64_t &sentDigest = Gossip.SentModelDigests[Sighting.id()];
+  uint64_t digest = digestModels(Observation);
+  uint64_t &sentDigest = Gossip.SentModelDigests[Observation.id()];
   if (sentDigest == digest) {
-    Sighting.clear_models();
-    Sighting.clear_in_memory();
-    Sighting.clear_on_disk();
-    Sighting.set_has_models(false);
+    Observation.clear_models();
+    Observation.clear_in_memory();
+    Observation.clear_on_disk();
+    Observation.set_has_models(false);
   }
   sentDigest = digest;
 }
@@ -144,11 +144,11 @@
   wire::Envelope message = makeHeartbeat(State, IsLeader, Term, Now);
   bool isBroadcast = isPast(Gossip.NextBroadcast, Now);
   if (isBroadcast) {
-    for (wire::EndpointSighting &it : Gossip.PendingSightings) {
+    for (wire::EndpointObservation &it : Gossip.PendingObservations) {
       dropUnchangedModels(Gossip, it);
       *message.mutable_node_heartbeat()->add_alive() = it;
     }
-    Gossip.PendingSightings.clear();
+    Gossip.PendingObservations.clear();
     Gossip.NextBroadcast =
         Now + broadcastPeriod(HeartbeatPeriod, countFronts(State, Now)) -
         HeartbeatPeriod / 2;
@@ -216,8 +216,8 @@
   if (Heartbeat.is_leader() && isNewerLeader(State, Heartbeat, Now))
     setLeader(State, Heartbeat, Now, Out);
   recordFrontDemand(Demand, self.name(), Heartbeat, Now);
-  for (const wire::EndpointSighting &it : Heartbeat.alive())
-    applySighting(State.Directory, it, Now);
+  for (const wire::EndpointObservation &it : Heartbeat.alive())
+    applyObservation(State.Directory, it, Now);
   uint64_t version = State.Table ? State.Table->Version : 0;
   State.Roster.Nodes[Heartbeat.self().name()].TableVersion =
       Heartbeat.table_version();
@@ -241,10 +241,10 @@
   if (Heartbeat.endpoint_digest() != digestEndpoints(State.Directory) &&
       mayResync(Gossip, self.address(), "/endpoints", Now)) {
     wire::Envelope message;
-    wire::EndpointNews &news = *message.mutable_endpoint_news();
-    news.set_is_whole(true);
-    for (wire::EndpointSighting &it : makeSightings(State.Directory, Now))
-      *news.add_endpoints() = std::move(it);
+    wire::EndpointUpdate &update = *message.mutable_endpoint_news();
+    update.set_is_whole(true);
+    for (wire::EndpointObservation &it : makeObservations(State.Directory, Now))
+      *update.add_endpoints() = std::move(it);
     send(Out, self.address(), std::move(message));
   }
 }
@@ -255,26 +255,28 @@
     mergeNode(State.Roster, it, State.Self.name(), Now);
 }
 
-void applyEndpointNews(FrontState &State, const wire::EndpointNews &News,
-                       TimePoint Now) {
-  for (const wire::EndpointSighting &it : News.endpoints())
-    applySighting(State.Directory, it, Now);
+void applyEndpointUpdate(FrontState &State,
+                         const wire::EndpointUpdate &Observed, TimePoint Now) {
+  for (const wire::EndpointObservation &it : Observed.endpoints())
+    applyObservation(State.Directory, it, Now);
 }
 
-SightingResult handleAnnouncement(FrontState &State, GossipState &Gossip,
-                                  const wire::EndpointSighting &Sighting,
-                                  TimePoint Now, NodeMessages &Out) {
-  SightingResult result = applySighting(State.Directory, Sighting, Now);
-  if (result == SightingResult::Refreshed)
-    Gossip.PendingSightings.push_back(Sighting);
-  if (result != SightingResult::Changed)
+ObservationResult
+handleAnnouncement(FrontState &State, GossipState &Gossip,
+                   const wire::EndpointObservation &Observation, TimePoint Now,
+                   NodeMessages &Out) {
+  ObservationResult result =
+      applyObservation(State.Directory, Observation, Now);
+  if (result == ObservationResult::Refreshed)
+    Gossip.PendingObservations.push_back(Observation);
+  if (result != ObservationResult::Changed)
     return result;
   wire::Envelope message;
-  *message.mutable_endpoint_news()->add_endpoints() = Sighting;
+  *message.mutable_endpoint_news()->add_endpoints() = Observation;
   for (const std::string &it : listFrontAddresses(State, Now))
     send(Out, it, message);
   // Repeated with the next broadcast heartbeat in case a message is lost.
-  Gossip.PendingSightings.push_back(Sighting);
+  Gossip.PendingObservations.push_back(Observation);
   return result;
 }
 
--- a/front/fleet_view.h
+++ b/front/fleet_view.h
@@ -37,8 +37,8 @@
 /// State of the gossip protocol that is not part of FrontState.
 struct GossipState {
   std::vector<std::string> Seeds; ///< Internal addresses.
-  /// Sightings to pass on with the next broadcast heartbeat.
-  std::vector<wire::EndpointSighting> PendingSightings;
+  /// Observations to pass on with the next broadcast heartbeat.
+  std::vector<wire::EndpointObservation> PendingObservations;
   std::map<std::string, TimePoint> NextResync; ///< By address and subject.
   /// Digest of the models last sent for each endpoint.
   std::map<std::string, uint64_t> SentModelDigests;
@@ -74,14 +74,15 @@
 /// Adds the nodes that another front passed on.
 void applyRosterUpdate(FrontState &State, const wire::RosterUpdate &Update,
                        TimePoint Now);
-/// Applies the sightings of endpoints that another front passed on.
-void applyEndpointNews(FrontState &State, const wire::EndpointNews &News,
-                       TimePoint Now);
+/// Applies the observations of endpoints that another front passed on.
+void applyEndpointUpdate(FrontState &State,
+                         const wire::EndpointUpdate &Observed, TimePoint Now);
 /// Applies an announcement that an endpoint made to this front. A change is
 /// sent to the other fronts at once, a refresh with the next broadcast.
-SightingResult handleAnnouncement(FrontState &State, GossipState &Gossip,
-                                  const wire::EndpointSighting &Sighting,
-                                  TimePoint Now, NodeMessages &Out);
+ObservationResult
+handleAnnouncement(FrontState &State, GossipState &Gossip,
+                   const wire::EndpointObservation &Observation, TimePoint Now,
+                   NodeMessages &Out);
 /// Sends the table in force, if there is one, to \p Address.
 void sendTable(const FrontState &State, const std::string &Address,
                NodeMessages &Out);
--- a/front/front_core.h
+++ b/front/front_core.h
@@ -28,7 +28,7 @@
   FrontCore(boost::asio::io_context &Io, Metrics &Counts,
             std::function<void(NodeMessages)> Send,
             std::function<void(const wire::RowDemand &)> ReportDemand,
-            std::function<void(const wire::QuotaWish &)> RequestTokens)
+            std::function<void(const wire::QuotaRequest &)> RequestTokens)
       : Io(Io), Counts(Counts), Client(Io, Counts), Send(std::move(Send)),
         ReportDemand(std::move(ReportDemand)),
         RequestTokens(std::move(RequestTokens)) {}
@@ -40,7 +40,7 @@
   /// Reports demand for a model to the leader.
   std::function<void(const wire::RowDemand &)> ReportDemand;
   /// Requests tokens of an organisation's quota from the leader.
-  std::function<void(const wire::QuotaWish &)> RequestTokens;
+  std::function<void(const wire::QuotaRequest &)> RequestTokens;
   FrontState State;
   std::map<uint64_t, std::shared_ptr<Relay>> Relays; ///< By request number.
   std::map<const HttpExchange *, uint64_t> ByExchange;
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -91,7 +91,7 @@
   void applyView(const StoreView &View);
   void send(NodeMessages Messages);
   void reportUnservedDemand(const wire::RowDemand &Row);
-  void requestTokens(const wire::QuotaWish &QuotaRequest);
+  void requestTokens(const wire::QuotaRequest &TokenRequest);
   bool isReady() const;
   std::string leaderControlAddress() const;
   void tick();
@@ -139,7 +139,7 @@
           Parts.Io, Parts.Counts,
           [this](NodeMessages it) { send(std::move(it)); },
           [this](const wire::RowDemand &it) { reportUnservedDemand(it); },
-          [this](const wire::QuotaWish &it) { requestTokens(it); }),
+          [this](const wire::QuotaRequest &it) { requestTokens(it); }),
       Timer(Parts.Io) {}
 
 bool FrontShell::start(std::string &Problem) {
@@ -359,7 +359,7 @@
     applyRosterUpdate(state, Message.roster_update(), now);
     break;
   case wire::Envelope::kEndpointNews:
-    applyEndpointNews(state, Message.endpoint_news(), now);
+    applyEndpointUpdate(state, Message.endpoint_news(), now);
     IsDispatchDue = true;
     break;
   case wire::Envelope::kEngineReport:
@@ -418,13 +418,13 @@
   }
   // This front keeps no log and cannot be a member: it says so in its answer,
   // and forwards a request to join to the leader.
-  const wire::BlankHello &hello = Message.blank_hello();
+  const wire::BootstrapHello &hello = Message.blank_hello();
   bool isAsking = hello.is_blank() || hello.is_joining();
   if (hello.is_diskless() || !isAsking || Message.from() != hello.name())
     return;
   NodeMessages out;
   wire::Envelope answer;
-  wire::BlankHello &own = *answer.mutable_blank_hello();
+  wire::BootstrapHello &own = *answer.mutable_blank_hello();
   own.set_name(Options.Node);
   own.set_address(Peers->address());
   own.set_is_blank(true);
@@ -529,15 +529,15 @@
   Peers->send(Core.State.Leader.Address, std::move(message));
 }
 
-void FrontShell::requestTokens(const wire::QuotaWish &QuotaRequest) {
+void FrontShell::requestTokens(const wire::QuotaRequest &TokenRequest) {
   if (!View.IsLeader) {
     wire::Envelope message;
-    *message.mutable_quota_wish() = QuotaRequest;
+    *message.mutable_quota_wish() = TokenRequest;
     Peers->send(Core.State.Leader.Address, std::move(message));
     return;
   }
   TimePoint now = Clock::now();
-  if (auto grant = grantQuota(Leader, Core.State, QuotaRequest, now))
+  if (auto grant = grantQuota(Leader, Core.State, TokenRequest, now))
     applyQuotaGrant(Core.State, *grant, now);
   IsDispatchDue = true;
 }
--- a/front/leader_work.cpp
+++ b/front/leader_work.cpp
@@ -446,7 +446,7 @@
 
 std::optional<wire::QuotaGrant> grantQuota(LeaderState &Leader,
                                            const FrontState &State,
-                                           const wire::QuotaWish &Request,
+                                           const wire::QuotaRequest &Request,
                                            TimePoint Now) {
   // The comparisons are written such that NaN is rejected as well.
   bool isValid = Request.least() >= 0 && Request.wanted() >= Request.least();
--- a/front/leader_work.h
+++ b/front/leader_work.h
@@ -69,7 +69,7 @@
 /// request with invalid amounts.
 std::optional<wire::QuotaGrant> grantQuota(LeaderState &Leader,
                                            const FrontState &State,
-                                           const wire::QuotaWish &Request,
+                                           const wire::QuotaRequest &Request,
                                            TimePoint Now);
 /// The busiest models as "name:requests/replicas", separated by semicolons, for
 /// the log.
--- a/front/relay.cpp
+++ b/front/relay.cpp
@@ -113,8 +113,8 @@
     Core.Send(std::move(messages));
   if (Result.DemandReport)
     Core.ReportDemand(*Result.DemandReport);
-  if (Result.QuotaRequest)
-    Core.RequestTokens(*Result.QuotaRequest);
+  if (Result.PoolQuotaRequest)
+    Core.RequestTokens(*Result.PoolQuotaRequest);
   if (auto *target = std::get_if<SendTo>(&Result.Decision)) {
     setWaiting(false);
     send(*target);
--- a/policy/held_grants.cpp
+++ b/policy/held_grants.cpp
@@ -88,7 +88,7 @@
   wire::GrantRequest request;
   request.set_number(Held.NextNumber++);
   for (const auto &[organisation, demand] : Held.PendingDemands) {
-    wire::TenantGrant &wanted = *request.add_wanted();
+    wire::OrganisationGrantRequest &wanted = *request.add_wanted();
     wanted.set_tenant(organisation);
     wanted.set_tokens(demand.Tokens);
     wanted.set_least(demand.Minimum);
@@ -97,7 +97,7 @@
     *request.add_returned() = std::move(it);
   PendingGrantRequest &sent = Held.Sent[request.number()];
   sent.At = Now;
-  for (const wire::TenantGrant &it : request.wanted())
+  for (const wire::OrganisationGrantRequest &it : request.wanted())
     sent.Wanted.push_back(it.tenant());
   std::erase_if(Held.Sent, [&](const auto &it) {
     return Now - it.second.At > timing::GrantLifetime;
--- a/replication/raft.cpp
+++ b/replication/raft.cpp
@@ -523,8 +523,8 @@
   Out.push_back(LoadSnapshot{snapshot});
 }
 
-wire::BlankHello makeHello(const RaftState &State) {
-  wire::BlankHello hello;
+wire::BootstrapHello makeHello(const RaftState &State) {
+  wire::BootstrapHello hello;
   hello.set_name(State.Self.Name);
   hello.set_identity(State.Self.Identity);
   hello.set_address(State.Self.Address);
@@ -542,7 +542,7 @@
 /// under a new identity, which replaces the old one in the configuration. A new
 /// host, or one that was removed while it was silent, is added likewise if it
 /// asks to join.
-void proposeLearner(RaftState &State, const wire::BlankHello &Hello,
+void proposeLearner(RaftState &State, const wire::BootstrapHello &Hello,
                     TimePoint Now, RaftEffects &Out) {
   if (!canPropose(State, Now) || State.MembersIndex > State.Commit)
     return;
@@ -596,7 +596,7 @@
     formInitialConfiguration(State, members, Now, Out);
 }
 
-void receive(RaftState &State, const wire::BlankHello &Hello,
+void receive(RaftState &State, const wire::BootstrapHello &Hello,
              const std::string &From, TimePoint Now, RaftEffects &Out) {
   if (State.Role != RaftRole::Blank) {
     bool isJoinRequest = Hello.is_blank() || Hello.is_joining();
--- a/replication/raft.h
+++ b/replication/raft.h
@@ -72,7 +72,7 @@
   TimePoint VoteBlockedUntil;
   TimePoint PreVoteDeadline; ///< End of this member's own round of pre-votes.
   TimePoint NextAppend;
-  std::map<std::string, wire::BlankHello> BlankPeers;
+  std::map<std::string, wire::BootstrapHello> BlankPeers;
   /// Addresses of the seeds, from the settings.
   std::vector<std::string> SeedAddresses;
   /// Addresses to which a member without a leader sends its requests to join;
--- a/tests/control/test_serving_store.cpp
+++ b/tests/control/test_serving_store.cpp
@@ -303,7 +303,7 @@
   startFourMembers(group);
   uint64_t before = group.SentMessages;
   wire::Envelope message;
-  wire::BlankHello &hello = *message.mutable_blank_hello();
+  wire::BootstrapHello &hello = *message.mutable_blank_hello();
   hello.set_name("x");
   hello.set_address("x");
   hello.set_is_blank(true);
--- a/tests/engine_agent/test_engine_orders.cpp
+++ b/tests/engine_agent/test_engine_orders.cpp
@@ -38,9 +38,9 @@
   return out;
 }
 
-wire::AdapterWish adapterRequest(const std::string &Model,
-                                 const std::string &Adapter) {
-  wire::AdapterWish out;
+wire::AdapterRequest adapterRequest(const std::string &Model,
+                                    const std::string &Adapter) {
+  wire::AdapterRequest out;
   out.set_model(Model);
   out.set_adapter(Adapter);
   *out.mutable_sizes() = sizes();
--- a/tests/front/test_dispatch.cpp
+++ b/tests/front/test_dispatch.cpp
@@ -67,7 +67,7 @@
 void addEndpoint(FrontState &State, const char *Id, const char *Service,
                  const char *Address, const std::vector<std::string> &Models,
                  const std::vector<std::string> &OnDisk = {}) {
-  wire::EndpointSighting it;
+  wire::EndpointObservation it;
   it.set_id(Id);
   it.set_service(Service);
   it.set_address(Address);
@@ -80,7 +80,7 @@
     it.add_models()->set_name(model);
   for (const std::string &model : OnDisk)
     it.add_on_disk(model);
-  applySighting(State.Directory, it, Start);
+  applyObservation(State.Directory, it, Start);
 }
 
 RequestAttributes facts(const std::string &Path,
@@ -122,7 +122,7 @@
   state.PoolHeardAt = Start;
   auto first = decideDispatch(state, request, Start);
   CHECK(std::holds_alternative<WaitUntil>(first.Decision));
-  CHECK(first.QuotaRequest);
+  CHECK(first.PoolQuotaRequest);
   state.Quotas["first"].PoolRequestedAt = TimePoint();
   auto last = decideDispatch(state, request, Start + Millis(210));
   REQUIRE(refusalOf(last));
--- a/tests/front/test_leader_work.cpp
+++ b/tests/front/test_leader_work.cpp
@@ -65,14 +65,14 @@
   void reportEngine(const std::string &Model, bool IsBusy, TimePoint Now,
                     const std::string &Id = "i-1",
                     const std::string &Address = EngineAddress) {
-    wire::EndpointSighting it;
+    wire::EndpointObservation it;
     it.set_id(Id);
     it.set_service("chat");
     it.set_address(Address);
     it.set_born_ms(1);
     it.set_sequence(++Sequence);
     it.set_slots(4);
-    applySighting(State.Directory, it, Now);
+    applyObservation(State.Directory, it, Now);
     wire::EngineReport report;
     report.mutable_self()->set_name("agent-" + Id);
     report.mutable_self()->set_incarnation(1);
@@ -121,13 +121,13 @@
           "reported their weights") {
   LeaderFixture fixture;
   fixture.Leader.Orders.clear();
-  wire::EndpointSighting unreported;
+  wire::EndpointObservation unreported;
   unreported.set_id("i-2");
   unreported.set_service("chat");
   unreported.set_address("10.0.0.2:7");
   unreported.set_born_ms(1);
   unreported.set_sequence(1);
-  applySighting(fixture.State.Directory, unreported, Start);
+  applyObservation(fixture.State.Directory, unreported, Start);
   TimePoint now = Start + Millis(300);
   CHECK(fixture.readyAt(now, 10) <= now + Millis(1'000));
   CHECK(fixture.Leader.Orders.empty());
@@ -237,27 +237,29 @@
 TEST_CASE("order at an engine that is gone does not count as a store load") {
   struct Case {
     const char *Description;
-    std::function<void(wire::EndpointSighting &)> Change;
+    std::function<void(wire::EndpointObservation &)> Change;
     Millis After;
     bool IsKept;
   };
   const Case cases[] = {
-      {"engine is present", [](wire::EndpointSighting &) {}, Millis(300), true},
+      {"engine is present", [](wire::EndpointObservation &) {}, Millis(300),
+       true},
       {"engine drains, its load continues",
-       [](wire::EndpointSighting &it) { it.set_is_draining(true); },
+       [](wire::EndpointObservation &it) { it.set_is_draining(true); },
        Millis(300), true},
-      {"engine left", [](wire::EndpointSighting &it) { it.set_has_left(true); },
+      {"engine left",
+       [](wire::EndpointObservation &it) { it.set_has_left(true); },
        Millis(300), false},
       {"engine was removed at short notice",
-       [](wire::EndpointSighting &it) {
+       [](wire::EndpointObservation &it) {
          it.set_is_draining(true);
          it.set_remaining_ms(2'000);
        },
        Millis(2'100), false},
-      {"engine no longer announces itself", [](wire::EndpointSighting &) {},
+      {"engine no longer announces itself", [](wire::EndpointObservation &) {},
        EndpointTimeout + Millis(300), false},
       {"another engine has its address",
-       [](wire::EndpointSighting &it) {
+       [](wire::EndpointObservation &it) {
          it.set_id("i-2");
          it.set_born_ms(2);
        },
@@ -266,15 +268,15 @@
   for (const Case &it : cases) {
     INFO(it.Description);
     LeaderFixture fixture;
-    wire::EndpointSighting sighting;
-    sighting.set_id("i-1");
-    sighting.set_service("chat");
-    sighting.set_address(EngineAddress);
-    sighting.set_born_ms(1);
-    sighting.set_sequence(100);
-    sighting.set_slots(4);
-    it.Change(sighting);
-    applySighting(fixture.State.Directory, sighting, Start);
+    wire::EndpointObservation observation;
+    observation.set_id("i-1");
+    observation.set_service("chat");
+    observation.set_address(EngineAddress);
+    observation.set_born_ms(1);
+    observation.set_sequence(100);
+    observation.set_slots(4);
+    it.Change(observation);
+    applyObservation(fixture.State.Directory, observation, Start);
     NodeMessages out;
     fixture.Leader.NextPlanAt = Start;
     planPlacement(fixture.Leader, fixture.State, Start + it.After, out);
@@ -299,7 +301,7 @@
 
 TEST_CASE("token grants stay within the limit, and invalid requests get none") {
   LeaderFixture fixture;
-  wire::QuotaWish request;
+  wire::QuotaRequest request;
   request.set_organisation("limited");
   request.set_wanted(300);
   request.set_least(300);
--- a/tests/platform/test_codecs.cpp
+++ b/tests/platform/test_codecs.cpp
@@ -144,8 +144,8 @@
   auto call = platform::readFleetCall({"POST", "/Instances.Leave/i-1", {}, ""});
   auto *leave = std::get_if<platform::Announcement>(&call);
   REQUIRE(leave);
-  CHECK(leave->Sighting.has_left());
-  CHECK(leave->Sighting.id() == "i-1");
+  CHECK(leave->Observation.has_left());
+  CHECK(leave->Observation.id() == "i-1");
   CHECK(std::holds_alternative<platform::UnknownCall>(
       platform::readFleetCall({"GET", "/Instances.Leave/i-1", {}, ""})));
 }
