--- a/control/control_parts.h
+++ b/control/control_parts.h
@@ -10,8 +10,9 @@
 
 // proposals.cpp
 
-/// Current fleet time in ms: the time stamp of the last command before this
-/// member became the leader, plus the time on its own clock since then.
+/// Current fleet time in ms: the latest time stamp among the commands applied
+/// before this member became the leader, plus the time on its own clock since
+/// then.
 uint64_t currentFleetTimeMs(const ControlState &State, TimePoint Now);
 /// Proposes a change of \p Item without sending a reply to anyone. Does nothing
 /// while another such change of the item is pending, or when this member cannot
@@ -59,7 +60,7 @@
 void handleHeartbeat(ControlState &State, const wire::Envelope &Message,
                      TimePoint Now, RaftEffects &Raft, ControlEffects &Out);
 /// Marks endpoints without reports as not ready after EndpointLease and removes
-/// their records after EndpointWriteOff.
+/// their records after EndpointRemovalTimeout.
 void checkEndpointTimeouts(ControlState &State, TimePoint Now,
                            RaftEffects &Raft);
 /// Proposes loads and unloads by the current demand and use of the endpoints.
--- a/control/control_shell.cpp
+++ b/control/control_shell.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-constexpr Millis TickInterval{25};
+constexpr Millis TickPeriod{25};
 /// Delay before the process exits, so that the last messages are sent.
 constexpr Millis ExitDelay{200};
 
@@ -191,7 +191,7 @@
   std::function<void(ControlEvent &)> handleEvent =
       [self = shared_from_this()](ControlEvent &it) { self->handleEvent(it); };
   Role = System.spawn(makeRoleBehavior<ControlEvent>, handleEvent,
-                      ControlEvent(ControlTick{}), TickInterval);
+                      ControlEvent(ControlTick{}), TickPeriod);
   return true;
 }
 
--- a/control/control_shell.h
+++ b/control/control_shell.h
@@ -8,7 +8,8 @@
 
 namespace sassafras {
 
-/// Creates the shell; nothing runs before start is called.
+/// Creates the shell; nothing runs before start is called. The objects that
+/// \p Parts refers to must outlive it.
 std::shared_ptr<RoleShell> makeControlShell(const ShellParts &Parts);
 
 } // namespace sassafras
--- a/control/control_state.h
+++ b/control/control_state.h
@@ -63,7 +63,7 @@
   TimePoint LeaderSince;
   uint64_t FleetTimeBaseMs = 0;
   TimePoint FleetTimeBaseAt;
-  double LoadTokens = 0; ///< Loads from the store that may start now.
+  double LoadTokens = 0; ///< Loads from the weight store that may start.
   TimePoint LoadTokensUpdatedAt;
   bool IsStopping = false;
 };
--- a/control/dissemination.cpp
+++ b/control/dissemination.cpp
@@ -26,8 +26,8 @@
 
 /// Returns the reply to the node's latest heartbeat with all items changed
 /// since the version that the node has applied. If the deletions since then are
-/// no longer all kept, the reply holds the whole view and tells the node to
-/// reset.
+/// no longer all kept, the reply holds the whole view and its reset flag is
+/// set.
 wire::HeartbeatReply makeHeartbeatReply(const ControlState &State,
                                         const std::string &Node,
                                         const NodeInfo &Info, TimePoint Now) {
--- a/control/observation.cpp
+++ b/control/observation.cpp
@@ -23,7 +23,7 @@
   if (!known && !isReported)
     return;
   // An agent that has just started does not know its endpoint's state yet. The
-  // recorded endpoint process and memory stay valid until it reports.
+  // recorded engine process and memory stay valid until it reports.
   if (!isReported && !Info.LastHeartbeat.endpoint_gone()) {
     reported.set_engine_incarnation(known->engine_incarnation());
     reported.set_memory_mb(known->memory_mb());
@@ -138,7 +138,7 @@
     return;
   // Incarnations of a node name increase. A delayed message of an earlier
   // process must not replace the state of the current one, unless that has not
-  // been heard for EndpointWriteOff.
+  // been heard for EndpointRemovalTimeout.
   bool isOlderProcess = Message.incarnation() < info.Incarnation &&
                         Now - info.LastHeard < timing::EndpointRemovalTimeout;
   if (isOlderProcess)
--- a/control/serving_group.cpp
+++ b/control/serving_group.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr Millis TickInterval{40};
+constexpr Millis TickPeriod{40};
 /// Delay after a disk failure before the data folder is opened again.
 constexpr Millis ReopenDelay{1'000};
 
@@ -213,7 +213,7 @@
   std::function<void(StoreEvent &)> handleEvent =
       [data = Data](StoreEvent &it) { data->handleEvent(it); };
   Data->Role = Data->System.spawn(makeRoleBehavior<StoreEvent>, handleEvent,
-                                  StoreEvent(StoreTick{}), TickInterval);
+                                  StoreEvent(StoreTick{}), TickPeriod);
 }
 
 void ServingGroup::post(StoreEvent Event) {
--- a/entry/claims.cpp
+++ b/entry/claims.cpp
@@ -192,7 +192,7 @@
     bool isLate = request.Stage == RequestStage::Recording &&
                   isPast(request.Deadline, Now);
     // The response is complete, so it is delivered although its outcome is not
-    // recorded; a resend will be told that the request may have run.
+    // recorded; a resend is refused with RanState::MayHaveRun.
     if (isLate)
       completeResponse(State, request, Now, Out);
     else
--- a/entry/dispatch.cpp
+++ b/entry/dispatch.cpp
@@ -283,7 +283,7 @@
       State.NextOrganisation = organisations[1];
     if (!needsAnotherRound)
       return;
-    // Only the wishes noted in the last round are sent.
+    // Only the demands noted in the last round are requested.
     if (round + 1 < MaxRounds)
       State.Tokens.PendingDemands.clear();
   }
--- a/entry/entry_shell.cpp
+++ b/entry/entry_shell.cpp
@@ -50,8 +50,8 @@
   bool startHttp(std::string &Problem);
   void serve(HttpRequest Request, std::shared_ptr<HttpExchange> Exchange);
   bool serveBuiltInPath(const HttpRequest &Request, HttpExchange &Exchange);
-  void step(const EntryEvent &Event);
-  void perform(EntryEffect &Effect);
+  void handleEvent(const EntryEvent &Event);
+  void applyEffect(EntryEffect &Effect);
   void refuse(const RefusalResponse &Effect);
   void abort(const ResponseAbort &Effect);
   void listModels(HttpExchange &Exchange);
@@ -103,12 +103,12 @@
 }
 
 bool EntryShell::startHttp(std::string &Problem) {
-  HttpServer::Handlers calls;
-  calls.OnRequest = [this](HttpRequest Request,
-                           std::shared_ptr<HttpExchange> Exchange) {
+  HttpServer::Handlers callbacks;
+  callbacks.OnRequest = [this](HttpRequest Request,
+                               std::shared_ptr<HttpExchange> Exchange) {
     serve(std::move(Request), std::move(Exchange));
   };
-  calls.OnLoss = [this](const HttpExchange *Exchange, HttpLoss Loss) {
+  callbacks.OnLoss = [this](const HttpExchange *Exchange, HttpLoss Loss) {
     std::string id;
     {
       std::lock_guard guard(ExchangeLock);
@@ -127,7 +127,7 @@
   limits.HeadBytes = Options.EntryRole.HeadBytes;
   limits.BodyBytes = Options.EntryRole.BodyBytes;
   Server = std::make_unique<HttpServer>(Io, Options.Http, limits, Counts,
-                                        std::move(calls));
+                                        std::move(callbacks));
   return Server->start(Problem);
 }
 
@@ -203,7 +203,7 @@
   exchange->abort();
 }
 
-void EntryShell::perform(EntryEffect &Effect) {
+void EntryShell::applyEffect(EntryEffect &Effect) {
   if (auto *message = std::get_if<EntrySend>(&Effect)) {
     Peers->send(message->Address, std::move(message->Message));
   } else if (auto *head = std::get_if<ResponseHead>(&Effect)) {
@@ -230,11 +230,11 @@
   }
 }
 
-void EntryShell::step(const EntryEvent &Event) {
+void EntryShell::handleEvent(const EntryEvent &Event) {
   TimePoint now = Clock::now();
   auto effects = stepEntry(State, Event, now);
   for (EntryEffect &it : effects)
-    perform(it);
+    applyEffect(it);
   if (std::holds_alternative<EntryTick>(Event))
     publish(now);
 }
@@ -311,9 +311,9 @@
   State.View.ControlAddresses = Options.Control;
   State.View.NextNumber = Incarnation;
   State.Tokens.NextNumber = Incarnation;
-  std::function<void(EntryEvent &)> step =
-      [self = shared_from_this()](EntryEvent &it) { self->step(it); };
-  Role = System.spawn(makeRoleBehavior<EntryEvent>, step,
+  std::function<void(EntryEvent &)> handleEvent =
+      [self = shared_from_this()](EntryEvent &it) { self->handleEvent(it); };
+  Role = System.spawn(makeRoleBehavior<EntryEvent>, handleEvent,
                       EntryEvent(EntryTick{}), TickPeriod);
   return true;
 }
--- a/entry/entry_shell.h
+++ b/entry/entry_shell.h
@@ -8,8 +8,8 @@
 
 namespace sassafras {
 
-/// Creates the shell; nothing runs before RoleShell::start. \p Parts must
-/// outlive it.
+/// Creates the shell; nothing runs before start is called. The objects that
+/// \p Parts refers to must outlive it.
 std::shared_ptr<RoleShell> makeEntryShell(const ShellParts &Parts);
 
 } // namespace sassafras
--- a/entry/entry_state.h
+++ b/entry/entry_state.h
@@ -141,7 +141,7 @@
   /// that is granted to one of them late is released again.
   std::set<std::string> NotRunIds;
   std::deque<std::string> NotRunOrder; ///< NotRunIds, oldest first.
-  double RetryBudget = 10;
+  double RetryBudget = 10;             ///< Retries that may start now.
   OutcomeCounts Counts;
   bool IsStopping = false;
 };
@@ -174,8 +174,8 @@
   std::string Address;
   wire::Envelope Message;
 };
-/// Starts the response with its status and headers. The body follows in
-/// ResponseBody effects; its length is theirs unless a header states it.
+/// Starts the response with its status and headers. The body, whose length is
+/// not known yet, follows in ResponseBody effects.
 struct ResponseHead {
   std::string Id;
   unsigned Status = 200;
--- a/entry/responses.cpp
+++ b/entry/responses.cpp
@@ -13,9 +13,10 @@
 constexpr Millis AttemptSilenceTimeout{3000};
 /// For this time a request is not sent again to an endpoint that refused it.
 constexpr Millis AvoidPeriod{100};
-/// Retry budget earned by each completed response. It limits retries to a share
-/// of the traffic.
+/// Retries added to the budget by each completed response. The budget limits
+/// retries to a share of the traffic.
 constexpr double RetryBudgetPerResponse = 0.2;
+/// Maximum of the budget, in retries.
 constexpr double MaxRetryBudget = 20;
 /// A chunk that is missing while later ones, or the end of the response, have
 /// arrived must arrive within this time.
@@ -307,8 +308,8 @@
 }
 
 /// True when a running attempt must end because its key was withdrawn, or
-/// because the view has been unconfirmed for longer than AnswerGrace, so that a
-/// withdrawal could not be seen.
+/// because the view has been unconfirmed for longer than ResponseGrace, so that
+/// a withdrawal could not be seen.
 bool mustTerminate(const EntryState &State, const RequestState &Request,
                    TimePoint Now) {
   if (Request.Organisation.empty())
--- a/fleet/endpoint_directory.h
+++ b/fleet/endpoint_directory.h
@@ -26,7 +26,7 @@
 /// long, so that late announcements do not restore one that has left.
 inline constexpr Millis EndpointRetention{60'000};
 
-/// Models and load of one engine, as told by its agent or its announcement.
+/// Models and load of one engine, as reported by its agent or announced.
 struct EngineState {
   TimePoint ReadAt;
   bool IsFromAgent = false;
@@ -105,8 +105,8 @@
 /// Digest over identity and draining state of the current endpoints; equal at
 /// fronts with the same knowledge.
 uint64_t digestEndpoints(const EndpointDirectory &Directory);
-/// All known endpoints, those that have left included, as sightings that
-/// another front can apply.
+/// All known endpoints whose address no other process has taken over, those
+/// that have left included, as sightings that another front can apply.
 std::vector<wire::EndpointSighting>
 makeSightings(const EndpointDirectory &Directory, TimePoint Now);
 
--- a/fleet/serving_table.h
+++ b/fleet/serving_table.h
@@ -79,8 +79,9 @@
   uint32_t Priority = 0;
   bool CountsTokens = false; ///< Else each request costs 1.
   uint64_t PlainTokens = 1;  ///< Cost of a request without token counts.
-  double RatePerSecond = 0;  ///< 0 for no limit.
-  double Burst = 0;
+  /// Tokens, or requests unless CountsTokens; 0 for no limit.
+  double RatePerSecond = 0;
+  double Burst = 0; ///< In the unit of RatePerSecond.
 };
 
 /// Limits on what callers may send.
--- a/replication/disk_log.cpp
+++ b/replication/disk_log.cpp
@@ -226,7 +226,7 @@
   std::filesystem::create_directories(Folder, ec);
   LockFile = ::open(path(LockName).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
   if (LockFile < 0 || ::flock(LockFile, LOCK_EX | LOCK_NB) != 0) {
-    fail(LockName, "folder is not usable or locked by another process");
+    fail(LockName, "folder is unusable or locked by another process");
     Error = LastError;
     return std::nullopt;
   }
--- a/replication/disk_log.h
+++ b/replication/disk_log.h
@@ -31,8 +31,9 @@
   uint64_t TornBytes = 0; ///< Truncated from the end of the log.
 };
 
-/// Reader and writer of one data folder. Not thread-safe. A file lock ensures
-/// that only one process uses the folder at a time.
+/// Reader and writer of one data folder. Not thread safe. A file lock ensures
+/// that only one process uses the folder at a time. After a function has
+/// failed, lastError() gives the cause.
 class DiskLog {
 public:
   explicit DiskLog(std::string Folder);
--- a/replication/raft.cpp
+++ b/replication/raft.cpp
@@ -290,11 +290,11 @@
   return member ? member->address() : std::string();
 }
 
-/// True if this member denies its pre-vote because it requests pre-votes
-/// itself. Of two such members with the same log, only the one with the lower
-/// identity goes on, so that they do not split the votes. Once its own round of
-/// pre-votes has ended, it grants the other its pre-vote, since it may be
-/// unable to win.
+/// True if this member requests pre-votes itself and therefore denies the
+/// candidate of \p Request its pre-vote. Of two such members with the same log,
+/// only the one with the lower identity goes on, so that they do not split the
+/// votes. Once its own round of pre-votes has ended, it grants the other its
+/// pre-vote, since it may be unable to win.
 bool hasPreVotePriority(const RaftState &State,
                         const wire::VoteRequest &Request, TimePoint Now) {
   bool isSameLog = Request.last_index() == lastIndex(State) &&
@@ -665,7 +665,7 @@
 }
 
 /// Proposes to make a voter of the first learner that holds all committed
-/// entries. One membership change is under way at a time.
+/// entries. One membership change is in progress at a time.
 void promoteLearners(RaftState &State, TimePoint Now, RaftEffects &Out) {
   if (State.MembersIndex > State.Commit || !canPropose(State, Now))
     return;
--- a/tests/fleet/test_endpoint_directory.cpp
+++ b/tests/fleet/test_endpoint_directory.cpp
@@ -44,7 +44,7 @@
   struct Case {
     const char *What;
     wire::EndpointSighting Later;
-    bool IsUsed;
+    bool IsUsable;
   };
   wire::EndpointSighting draining = sighting("a", 100, 6);
   draining.set_is_draining(true);
@@ -68,7 +68,7 @@
     applySighting(directory, sighting("a", 100, 5), Start);
     REQUIRE(isUsableById(directory, "a", Start));
     applySighting(directory, it.Later, Start);
-    CHECK(isUsableById(directory, "a", Start) == it.IsUsed);
+    CHECK(isUsableById(directory, "a", Start) == it.IsUsable);
   }
 }
 
