--- a/tests/fleet/test_endpoint_directory.cpp
+++ b/tests/fleet/test_endpoint_directory.cpp
@@ -44,7 +44,7 @@
   struct Case {
     const char *What;
     wire::EndpointObservation Later;
-    bool IsUsed;
+    bool IsUsable;
   };
   wire::EndpointObservation draining = observation("a", 100, 6);
   draining.set_is_draining(true);
@@ -68,7 +68,7 @@
     applyObservation(directory, observation("a", 100, 5), Start);
     REQUIRE(isUsableById(directory, "a", Start));
     applyObservation(directory, it.Later, Start);
-    CHECK(isUsableById(directory, "a", Start) == it.IsUsed);
+    CHECK(isUsableById(directory, "a", Start) == it.IsUsable);
   }
 }
 
