--- a/bench/policy_bench.cpp
+++ b/bench/policy_bench.cpp
@@ -95,7 +95,7 @@
         options.Seed = static_cast<uint64_t>(seed);
         simulations.push_back(options);
       }
-  std::printf("median [least..most] over %d seeds, %d s of arrivals each\n"
+  std::printf("median [min..max] over %d seeds, %d s of arrivals each\n"
               "deployment policy: cold start p50 s, p95 s, p99 s, idle "
               "accelerator hours, worst organisation's share %%, its p95 s, "
               "refusals within rate, served %%, decisions\n",
--- a/bench/site.cpp
+++ b/bench/site.cpp
@@ -99,7 +99,7 @@
   std::map<std::pair<TimePoint, uint64_t>, std::function<void()>> Queue;
   ControlState Control;
   std::vector<EntryState> Entries;
-  std::vector<TokenBuckets> LocalBanks;
+  std::vector<TokenBuckets> LocalBuckets;
   std::map<std::string, AgentState> Agents;
   std::map<std::string, Engine> Engines;
   std::vector<wire::TableRow> Rows;
@@ -122,7 +122,7 @@
       control, makeBlankRaft({"control", 1, "control"}, {"control"}, 1, Now),
       nullptr);
   Entries.resize(EntryCount);
-  LocalBanks.resize(EntryCount);
+  LocalBuckets.resize(EntryCount);
   for (int i = 0; i < EntryCount; ++i) {
     Entries[i].Options = {"entry-" + std::to_string(i), "zone"};
     Entries[i].View.ControlAddresses = {"control"};
@@ -262,7 +262,7 @@
 
 /// Simple quota policy: every entry spends its own part of the rate.
 void Simulation::grantLocally(int Entry, const wire::GrantRequest &Request) {
-  TokenBuckets &bank = LocalBanks[static_cast<size_t>(Entry)];
+  TokenBuckets &buckets = LocalBuckets[static_cast<size_t>(Entry)];
   wire::Envelope message;
   wire::GrantReply &reply = *message.mutable_grant_reply();
   reply.set_number(Request.number());
@@ -274,13 +274,13 @@
   };
   for (const wire::GrantReturn &it : Request.returned())
     if (it.grant() != 0)
-      returnGrant(bank, it.tenant(), it.grant(), it.unspent(),
+      returnGrant(buckets, it.tenant(), it.grant(), it.unspent(),
                   rateOf(it.tenant()), Now);
     else
-      refundCharge(bank, it.tenant(), it.unspent(),
+      refundCharge(buckets, it.tenant(), it.unspent(),
                    Now - Millis(it.charged_ago_ms()), rateOf(it.tenant()), Now);
   for (const wire::TenantGrant &it : Request.wanted()) {
-    auto grant = issueGrant(bank, it.tenant(), rateOf(it.tenant()),
+    auto grant = issueGrant(buckets, it.tenant(), rateOf(it.tenant()),
                             {"e", it.tokens(), it.least()}, Now);
     if (!grant)
       continue;
@@ -295,7 +295,7 @@
 void Simulation::step(const std::string &Agent, const AgentEvent &Event) {
   for (AgentEffect &it : stepAgent(Agents[Agent], Event, Now)) {
     if (auto *message = std::get_if<AgentSend>(&it)) {
-      if (Options.Policy.IsCacheBlind && message->Message.has_heartbeat())
+      if (Options.Policy.IgnoresCaches && message->Message.has_heartbeat())
         message->Message.mutable_heartbeat()->clear_cached_rows();
       transmit(Agent, message->Address, std::move(message->Message));
     } else if (auto *order = std::get_if<SendOrder>(&it)) {
--- a/bench/site.h
+++ b/bench/site.h
@@ -20,7 +20,7 @@
   const char *Name = "ours";
   bool IsFixedIdle = false; ///< Every row stays loaded for ten minutes.
   /// Placement ignores where checkpoints are cached.
-  bool IsCacheBlind = false;
+  bool IgnoresCaches = false;
   bool IsLocalBucket = false; ///< Each of n entries has rate/n and burst/n.
 };
 
--- a/front/admission.cpp
+++ b/front/admission.cpp
@@ -19,7 +19,8 @@
 constexpr double MeanRequestSize = 4'000;
 /// Route timeout at which a request has a worth of 1.
 constexpr Millis ReferenceTimeout{6'000};
-/// A front that has just started receives its first table within this time.
+/// Retry-After while the front has no serving table. A front that has just
+/// started receives its first table within this time.
 constexpr Millis TableUnknownRetryAfter{500};
 /// Worth grows faster than the timeout.
 constexpr double TimeoutExponent = 1.5;
@@ -105,8 +106,8 @@
   out.Urgency = std::min(organisationPriority * RoutePriorityLevels +
                              std::min(route->Priority, RoutePriorityLevels - 1),
                          MaxUrgencyValue);
-  std::uniform_real_distribution<double> point(0, 1);
-  out.Service = selectService(*route, point(State.Random));
+  std::uniform_real_distribution<double> draw(0, 1);
+  out.Service = selectService(*route, draw(State.Random));
   out.IsRepeatable =
       route->Kind == RequestKind::Idempotent ||
       (route->Kind == RequestKind::Streaming && route->IsResumable);
--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -30,9 +30,10 @@
 constexpr Millis MeanEngineServiceTime{1'700};
 /// The same for plain services.
 constexpr Millis MeanPlainServiceTime{80};
-/// Retry-After times are extended by a random part of up to this, so that
+/// Retry-After times are extended by a random fraction of up to this, so that
 /// refused callers do not all return together.
 constexpr double RetryAfterJitter = 0.5;
+/// Lower bound of Retry-After times before the random extension.
 constexpr Millis MinRetryAfter{200};
 /// Retry-After for a service without any usable endpoint; restarts take some
 /// seconds.
@@ -164,18 +165,18 @@
                             EndpointSurvey &Found) {
   if (Request.Attributes.Adapter.empty())
     return;
-  EndpointSurvey kept = Found;
-  kept.Candidates.clear();
-  kept.Engines.clear();
-  kept.Endpoints.clear();
+  EndpointSurvey remaining = Found;
+  remaining.Candidates.clear();
+  remaining.Engines.clear();
+  remaining.Endpoints.clear();
   for (size_t i = 0; i < Found.Candidates.size(); ++i) {
     if (!hasAdapter(*Found.Engines[i], Request))
       continue;
-    kept.Candidates.push_back(Found.Candidates[i]);
-    kept.Engines.push_back(Found.Engines[i]);
-    kept.Endpoints.push_back(Found.Endpoints[i]);
+    remaining.Candidates.push_back(Found.Candidates[i]);
+    remaining.Engines.push_back(Found.Engines[i]);
+    remaining.Endpoints.push_back(Found.Endpoints[i]);
   }
-  Found = std::move(kept);
+  Found = std::move(remaining);
 }
 
 void addWaiting(ModelUsage &Usage, const FrontRequest &Request, TimePoint Now) {
@@ -207,7 +208,7 @@
   return out;
 }
 
-/// True while the leader's forecast for a model may still be on its way. Only
+/// True while the leader's forecast for a model may still arrive. Only
 /// the leader knows which engines have the weights in memory or on disk.
 bool isForecastPending(const FrontState &State, const FrontRequest &Request,
                        TimePoint Now) {
@@ -366,8 +367,8 @@
   expireQuotaRequest(State, quota, Now);
   QuotaLimit limit = quotaLimitOf(State, *organisation, Now);
   size_t fronts = countFronts(State, Now);
-  QuotaCharge claim{Request.Cost, Request.Worth};
-  if (takeQuota(quota, limit, claim, fronts, Now)) {
+  QuotaCharge charge{Request.Cost, Request.Worth};
+  if (takeQuota(quota, limit, charge, fronts, Now)) {
     Request.IsCharged = true;
     quota.WaitingCosts.erase(Request.Number);
     return std::nullopt;
@@ -375,9 +376,9 @@
   Clock::duration maxWait =
       (Request.ObjectiveDeadline - Request.ArrivedAt) / QuotaWaitDivisor;
   TimePoint waitEnd = Request.ArrivedAt + maxWait;
-  Millis wait = estimateQuotaWait(quota, limit, claim, fronts, Now);
+  Millis wait = estimateQuotaWait(quota, limit, charge, fronts, Now);
   if (limit.HasPool) {
-    bool isPreferred = isFavoured(quota, claim);
+    bool isPreferred = isFavoured(quota, charge);
     TimePoint closedUntil = isPreferred ? quota.PoolEmptyUntil
                                         : std::max(quota.PoolEmptyUntil,
                                                    quota.PoolFavouredOnlyUntil);
@@ -409,8 +410,8 @@
                    countFronts(State, Now));
 }
 
-/// Until then a request that an endpoint rejected waits for its next send while
-/// the retry budget is used up. The budget grows with each arrival.
+/// Time until which a request that an endpoint rejected waits for its next send
+/// while the retry budget is used up. The budget grows with each arrival.
 TimePoint retryWaitEnd(const FrontRequest &Request) {
   return Request.Route->Kind == RequestKind::Streaming
              ? Request.FirstByteDeadline
@@ -494,9 +495,9 @@
       return wait;
     }
   }
-  std::uniform_real_distribution<double> point(0, 1);
+  std::uniform_real_distribution<double> draw(0, 1);
   auto chosen = chooseEndpoint(found.Candidates, State.Self.zone(),
-                               point(State.Random), Now);
+                               draw(State.Random), Now);
   if (!chosen) {
     DispatchResult wait = waitForSlot(State, Request, found, isEngine, Now);
     wait.AdapterRequests = std::move(out.AdapterRequests);
@@ -594,7 +595,7 @@
 
 RetryDecision decideRetry(FrontState &State, FrontRequest &Request,
                           const std::string &Endpoint, ExchangeFailure Failure,
-                          bool HasAnswer, TimePoint Now) {
+                          bool HasResponse, TimePoint Now) {
   EndpointRecord &record = State.Records[Endpoint];
   bool isRun =
       Failure == ExchangeFailure::Broken || Failure == ExchangeFailure::Error;
@@ -613,7 +614,7 @@
   bool hasAttempts =
       Request.Runs < std::max<uint32_t>(Request.Route->MaxAttempts, 1);
   if (!mayRetry || !hasAttempts || Request.Sends >= MaxSends ||
-      isPast(Request.Deadline, Now) || (State.IsStopping && HasAnswer))
+      isPast(Request.Deadline, Now) || (State.IsStopping && HasResponse))
     return out;
   // A send that did not reach an endpoint is not charged to the retry budget,
   // as it puts no load on the fleet.
@@ -644,9 +645,9 @@
     else
       model->second.erase(Request.Attributes.Adapter);
   };
-  auto reading = State.Directory.AgentReports.find(known->second.Address);
-  if (reading != State.Directory.AgentReports.end())
-    forget(reading->second.State);
+  auto report = State.Directory.AgentReports.find(known->second.Address);
+  if (report != State.Directory.AgentReports.end())
+    forget(report->second.State);
   auto announced = State.Directory.Announced.find(Endpoint);
   if (announced != State.Directory.Announced.end())
     forget(announced->second);
--- a/front/dispatch.h
+++ b/front/dispatch.h
@@ -34,7 +34,7 @@
 };
 /// A request to an engine's agent to load an adapter.
 struct AdapterLoadRequest {
-  std::string Agent; ///< Address of its link.
+  std::string Agent; ///< Link address.
   wire::AdapterWish Payload;
 };
 
@@ -84,11 +84,11 @@
 };
 
 /// Decides whether to retry after a failed exchange with \p Endpoint, and
-/// records the failure. \p HasAnswer: the endpoint's own response can be
+/// records the failure. \p HasResponse: the endpoint's own response can be
 /// forwarded instead of a refusal. Not thread safe.
 RetryDecision decideRetry(FrontState &State, FrontRequest &Request,
                           const std::string &Endpoint, ExchangeFailure Failure,
-                          bool HasAnswer, TimePoint Now);
+                          bool HasResponse, TimePoint Now);
 
 /// Applies the leader's reply to a request for quota tokens. Ignores a grant of
 /// an older term.
--- a/front/fleet_api.cpp
+++ b/front/fleet_api.cpp
@@ -15,7 +15,7 @@
 constexpr unsigned StatusBadRequest = 400;
 constexpr unsigned StatusNotFound = 404;
 constexpr unsigned StatusUnavailable = 503;
-/// Largest table that is expanded, in bytes. Operators are limited to 4 MB.
+/// Largest table after decompression, in bytes. Operators are limited to 4 MB.
 constexpr size_t MaxTableBytes = 8ULL * 1024 * 1024;
 
 std::vector<HttpField> jsonHeaders() {
@@ -125,32 +125,32 @@
   group->post(StoreRead{number});
 }
 
-void FleetApi::handleStoreAnswer(const StoreResult &Answer) {
-  auto found = PendingCalls.find(Answer.Number);
+void FleetApi::handleStoreResult(const StoreResult &Result) {
+  auto found = PendingCalls.find(Result.Number);
   if (found == PendingCalls.end())
     return;
   PendingCall call = std::move(found->second);
   PendingCalls.erase(found);
   logEvent(
       LogLevel::Info, call.IsPut ? "table_put" : "table_read",
-      {{"version", std::to_string(call.IsPut ? call.Version : Answer.Version)},
-       {"in_force", std::to_string(Answer.Version)},
-       {"outcome", Answer.Outcome == StoreOutcome::Done        ? "done"
-                   : Answer.Outcome == StoreOutcome::NotLeader ? "redirect"
+      {{"version", std::to_string(call.IsPut ? call.Version : Result.Version)},
+       {"in_force", std::to_string(Result.Version)},
+       {"outcome", Result.Outcome == StoreOutcome::Done        ? "done"
+                   : Result.Outcome == StoreOutcome::NotLeader ? "redirect"
                                                                : "unavailable"},
        {"took_ms", std::to_string(toMillis(Clock::now() - call.StartedAt))}});
-  if (Answer.Outcome == StoreOutcome::NotLeader) {
+  if (Result.Outcome == StoreOutcome::NotLeader) {
     redirect(*call.Exchange, call.IsPut);
-  } else if (Answer.Outcome == StoreOutcome::Unavailable) {
+  } else if (Result.Outcome == StoreOutcome::Unavailable) {
     call.Exchange->respond(StatusUnavailable, jsonHeaders(),
                            errorBody("the group has no leader now"));
   } else if (call.IsPut) {
     call.Exchange->respond(StatusOk, jsonHeaders(), "{}\n");
-  } else if (auto text = decompressText(Answer.Content, MaxTableBytes)) {
+  } else if (auto text = decompressText(Result.Content, MaxTableBytes)) {
     call.Exchange->respond(StatusOk, jsonHeaders(), std::move(*text));
   } else {
     logEvent(LogLevel::Error, "table_unreadable",
-             {{"version", std::to_string(Answer.Version)}});
+             {{"version", std::to_string(Result.Version)}});
     call.Exchange->respond(StatusUnavailable, jsonHeaders(),
                            errorBody("the table cannot be read"));
   }
--- a/front/fleet_api.h
+++ b/front/fleet_api.h
@@ -29,12 +29,12 @@
 
   explicit FleetApi(Dependencies Dependencies);
 
-  /// Answers a request, or forwards it to the serving group, whose answer
-  /// handleStoreAnswer passes on.
+  /// Answers a request, or forwards it to the serving group, whose result
+  /// handleStoreResult passes on.
   void handleCall(const HttpRequest &Request,
                   const std::shared_ptr<HttpExchange> &Exchange);
-  /// Completes the request that \p Answer belongs to, if it is still pending.
-  void handleStoreAnswer(const StoreResult &Answer);
+  /// Completes the request that \p Result belongs to, if it is still pending.
+  void handleStoreResult(const StoreResult &Result);
 
 private:
   /// A request that waits for the serving group.
--- a/front/fleet_view.h
+++ b/front/fleet_view.h
@@ -36,7 +36,7 @@
 
 /// State of the gossip protocol that is not part of FrontState.
 struct GossipState {
-  std::vector<std::string> Seeds; ///< Internal addresses.
+  std::vector<std::string> Seeds; ///< Link addresses.
   /// Sightings to pass on with the next broadcast heartbeat.
   std::vector<wire::EndpointSighting> PendingSightings;
   std::map<std::string, TimePoint> NextResync; ///< By address and subject.
--- a/front/front_core.h
+++ b/front/front_core.h
@@ -1,6 +1,7 @@
 /// \file
-/// State shared by the parts of a front process: its decisions' state, its
-/// connections and its requests. Everything runs on the io_context's thread.
+/// State shared by the parts of a front process: the state for its decisions,
+/// its connections and its requests. Everything runs on the io_context's
+/// thread.
 #ifndef SASSAFRAS_FRONT_FRONT_CORE_H
 #define SASSAFRAS_FRONT_FRONT_CORE_H
 
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -26,7 +26,7 @@
 namespace {
 
 /// Timer interval. Waiting requests are dispatched again on a tick after
-/// something has changed that may let them go on.
+/// a change that may let them proceed.
 constexpr Millis TickPeriod{20};
 /// Waiting requests are dispatched again after this time even if nothing is
 /// known to have changed.
@@ -40,6 +40,8 @@
 /// Part of the stop grace period that is reserved at its end for sending
 /// messages.
 constexpr Millis StopMargin{400};
+/// Delay from the end of the last request until the links are closed, so that
+/// messages can still be sent.
 constexpr Millis ExitDelay{150};
 /// Interval at which some statistics are logged, for analysis where no metrics
 /// were collected.
@@ -50,10 +52,10 @@
 /// A newly started front learns the fleet's endpoints within this time, and is
 /// not ready before.
 constexpr Millis EndpointLearnTimeout{700};
-/// Largest body of a request to the control address, which may carry a whole
-/// table. Bytes.
+/// Largest body, in bytes, of a request to the control address, which may carry
+/// a whole table.
 constexpr uint64_t MaxFleetBodyBytes = 8ULL * 1024 * 1024;
-/// Largest table after decompression. Bytes.
+/// Largest table after decompression, in bytes.
 constexpr size_t MaxTableBytes = 8ULL * 1024 * 1024;
 
 class FrontShell : public RoleShell,
@@ -128,7 +130,7 @@
   TimePoint BalancerDrainEnd;
   TimePoint StopDeadline;
   std::set<std::string> LoggedInView; ///< Nodes last logged as in view.
-  bool IsDispatchDue = false; ///< Waiting requests may be able to go on.
+  bool IsDispatchDue = false; ///< Waiting requests may be able to proceed.
   bool IsExiting = false;
 };
 
@@ -229,8 +231,8 @@
   calls.OnPublish = [this](const StorePublish &Table) {
     applyTable(Table.Version, Table.Content);
   };
-  calls.OnResult = [this](const StoreResult &Answer) {
-    Api->handleStoreAnswer(Answer);
+  calls.OnResult = [this](const StoreResult &Result) {
+    Api->handleStoreResult(Result);
   };
   calls.OnView = [this](const StoreView &NewView) { applyView(NewView); };
   Group = std::make_unique<ServingGroup>(Io, System, *Peers, Counts,
@@ -271,31 +273,31 @@
                                TimePoint ArrivedAt) {
   TimePoint now = Clock::now();
   platform::CallerFields fields = platform::extractCallerFields(Request);
-  RequestAttributes facts;
-  facts.Id = fields.RequestId;
-  facts.Method = Request.Method;
-  facts.Host = fields.Host;
-  facts.Path = Request.Target;
-  facts.Key = fields.Key;
-  facts.TimeLeft = fields.TimeLeft;
-  facts.Model = fields.Model;
-  facts.Adapter = fields.Adapter;
-  facts.HasTokenCounts = fields.HasTokenCounts;
-  facts.PromptTokens = fields.PromptTokens;
-  facts.OutputTokens = fields.OutputTokens;
-  facts.PromptHead = fields.PromptHead;
-  facts.LastEvent = fields.LastEvent;
-  auto admitted = admitRequest(Core.State, facts, ArrivedAt);
+  RequestAttributes attributes;
+  attributes.Id = fields.RequestId;
+  attributes.Method = Request.Method;
+  attributes.Host = fields.Host;
+  attributes.Path = Request.Target;
+  attributes.Key = fields.Key;
+  attributes.TimeLeft = fields.TimeLeft;
+  attributes.Model = fields.Model;
+  attributes.Adapter = fields.Adapter;
+  attributes.HasTokenCounts = fields.HasTokenCounts;
+  attributes.PromptTokens = fields.PromptTokens;
+  attributes.OutputTokens = fields.OutputTokens;
+  attributes.PromptHead = fields.PromptHead;
+  attributes.LastEvent = fields.LastEvent;
+  auto admitted = admitRequest(Core.State, attributes, ArrivedAt);
   if (auto *refusal = std::get_if<FrontRefusal>(&admitted)) {
-    refuseRequest(facts, *refusal, *Exchange);
+    refuseRequest(attributes, *refusal, *Exchange);
     return;
   }
   auto &request = std::get<FrontRequest>(admitted);
   request.Number = Core.NextNumber++;
   if (!request.Attributes.Model.empty()) {
-    ModelUsage &row = Core.State.ModelUsages[request.Attributes.Model];
-    ++row.Arrivals;
-    row.Worth += request.Worth;
+    ModelUsage &usage = Core.State.ModelUsages[request.Attributes.Model];
+    ++usage.Arrivals;
+    usage.Worth += request.Worth;
   }
   if (!request.Organisation.empty())
     recordDemand(Core.State.Quotas[request.Organisation],
@@ -605,8 +607,8 @@
 
 /// Dispatches only the requests that wait for tokens of \p Organisation.
 void FrontShell::dispatchWaitingForTokens(const std::string &Organisation) {
-  auto wanting = Core.State.Quotas[Organisation].WaitingCosts;
-  for (const auto &[number, cost] : wanting) {
+  auto waiting = Core.State.Quotas[Organisation].WaitingCosts;
+  for (const auto &[number, cost] : waiting) {
     auto relay = Core.Relays.find(number);
     if (relay == Core.Relays.end())
       continue;
--- a/front/front_state.h
+++ b/front/front_state.h
@@ -53,7 +53,7 @@
 
 struct KnownLeader {
   std::string Node;
-  std::string Address;        ///< Of its link.
+  std::string Address;        ///< Link address.
   std::string ControlAddress; ///< For operators.
   uint64_t Term = 0;
   TimePoint HeardAt;
--- a/front/leader_work.cpp
+++ b/front/leader_work.cpp
@@ -18,7 +18,8 @@
 /// Fraction of the store's permitted load rate that is used; the rest covers
 /// loads that an earlier leader ordered.
 constexpr double StoreRateFraction = 0.75;
-/// Capacity of the token bucket that limits the rate of loads from the store.
+/// Capacity, in loads, of the token bucket that limits the rate of loads from
+/// the store.
 constexpr double StoreBurst = 2;
 /// An order that is not reported as done is abandoned after its load time,
 /// times OrderLoadFactor, plus this allowance for unloads that wait for running
@@ -39,8 +40,8 @@
 /// its estimate by about this much, a fraction of its load time for each
 /// concurrent load.
 constexpr Millis OverdueStoreLoadTime{3'000};
-/// Low bits of an order number, which count the orders of one term. The bits
-/// above them hold the term.
+/// Number of low bits of an order number, which count the orders of one term.
+/// The bits above them hold the term.
 constexpr unsigned OrderTermShift = 24;
 /// Models listed in one log line.
 constexpr size_t MaxSummarizedModels = 6;
@@ -460,15 +461,15 @@
     return std::nullopt;
   bool isOverRate =
       totalDemandOf(Leader.Demand, found->Name, Now) > found->RatePerSecond;
-  PoolGrant answer =
+  PoolGrant grant =
       drawFromPool(Leader.Pools[found->Name], quotaLimitOf(State, *found, Now),
                    {Request.wanted(), Request.least(), Request.is_favoured()},
                    isOverRate, Leader.LeaderSince, Now);
   wire::QuotaGrant out;
   out.set_term(Leader.Term);
   out.set_organisation(found->Name);
-  out.set_granted(answer.Granted);
-  out.set_wait_ms(static_cast<uint64_t>(answer.Wait.count()));
+  out.set_granted(grant.Granted);
+  out.set_wait_ms(static_cast<uint64_t>(grant.Wait.count()));
   out.set_is_favoured(Request.is_favoured());
   return out;
 }
@@ -619,9 +620,9 @@
   if (Forecast.term() < State.Leader.Term)
     return;
   for (const wire::ModelForecast &it : Forecast.models()) {
-    ModelUsage &row = State.ModelUsages[it.model()];
-    row.ReadyAt = Now + Millis(it.ready_in_ms());
-    row.ForecastAt = Now;
+    ModelUsage &usage = State.ModelUsages[it.model()];
+    usage.ReadyAt = Now + Millis(it.ready_in_ms());
+    usage.ForecastAt = Now;
   }
 }
 
--- a/front/leader_work.h
+++ b/front/leader_work.h
@@ -13,7 +13,9 @@
 /// Interval of placement planning. It also runs at once when a front reports
 /// demand for a model that it cannot serve.
 inline constexpr Millis PlanPeriod{100};
+/// Interval at which the rates are divided over the fronts.
 inline constexpr Millis SharePeriod{300};
+/// Interval of the forecasts that are sent to the fronts.
 inline constexpr Millis ForecastPeriod{150};
 
 /// An order that its agent has not reported as done.
--- a/front/leaderless_wish.cpp
+++ b/front/leaderless_wish.cpp
@@ -18,13 +18,13 @@
 /// True when no leader plans for \p Request: none is known, or the known one
 /// has not sent a current forecast for its model in time.
 bool isLeaderless(const FrontState &State, const FrontRequest &Request,
-                  const ModelUsage &Row, TimePoint Now) {
+                  const ModelUsage &Usage, TimePoint Now) {
   if (State.IsLeading)
     return false;
   if (!hasLeader(State, Now))
     return true;
   return Now - Request.ArrivedAt > ForecastTimeout &&
-         Now - Row.ForecastAt > ForecastLifetime;
+         Now - Usage.ForecastAt > ForecastLifetime;
 }
 
 /// Free memory of an engine in MB, with loaded adapters counted as used; 0 when
@@ -47,18 +47,18 @@
                          TimePoint Now) {
   const EngineSpec *spec = findEngineSpec(State, Request.Service);
   const std::string &name = Request.Attributes.Model;
-  ModelUsage &row = State.ModelUsages[name];
+  ModelUsage &usage = State.ModelUsages[name];
   if (!spec || !spec->Models.contains(name) ||
-      !isPast(row.NextAgentRequest, Now) ||
-      !isLeaderless(State, Request, row, Now))
+      !isPast(usage.NextAgentRequest, Now) ||
+      !isLeaderless(State, Request, usage, Now))
     return std::nullopt;
   const ModelSpec &model = spec->Models.at(name);
   std::vector<FreeEngine> engines;
   std::vector<const EngineState *> states;
   // Iterates the agents' reports and not the endpoints: an agent may report
   // before its engine has announced itself to this front.
-  for (const auto &[address, reading] : State.Directory.AgentReports) {
-    const EngineState &engine = reading.State;
+  for (const auto &[address, report] : State.Directory.AgentReports) {
+    const EngineState &engine = report.State;
     if (engine.IsSilent || Now - engine.ReadAt > AgentReportLifetime)
       continue;
     if (engine.Loading == name || engine.Models.contains(name))
@@ -73,7 +73,7 @@
   auto chosen = chooseFreeEngine(name, model.WeightsMb, engines);
   if (!chosen)
     return std::nullopt;
-  row.NextAgentRequest = Now + RequestInterval;
+  usage.NextAgentRequest = Now + RequestInterval;
   ModelLoadRequest out;
   out.Agent = states[*chosen]->AgentAddress;
   out.Order.set_engine_address(engines[*chosen].Address);
--- a/front/leaderless_wish.h
+++ b/front/leaderless_wish.h
@@ -13,7 +13,7 @@
 
 /// A request to an engine's agent to load a model into free memory.
 struct ModelLoadRequest {
-  std::string Agent; ///< Internal address.
+  std::string Agent; ///< Link address.
   wire::EngineOrder Order;
 };
 
--- a/front/relay.cpp
+++ b/front/relay.cpp
@@ -13,12 +13,13 @@
 /// Connecting within the fleet takes a few milliseconds, and less than this
 /// even when one packet is lost.
 constexpr Millis ConnectTimeout{700};
-/// Kept connections that were idle for longer are not used for requests that
-/// must not run twice: the endpoint may be closing them.
+/// Persistent connections that were idle for longer are not used for requests
+/// that must not run twice: the endpoint may be closing them.
 constexpr Millis MaxIdleNonRepeatable{1'500};
 /// The same for requests that may be repeated.
 constexpr Millis MaxIdle{8'000};
-/// Another front can serve the caller immediately.
+/// Retry-After while this front stops: another front can serve the caller
+/// immediately.
 constexpr Millis StoppingRetryAfter{100};
 /// Responses of up to this size in bytes are buffered until they are complete,
 /// so that an incomplete one can be replaced by a retry.
@@ -63,7 +64,7 @@
 }
 
 void Relay::handleDeadline() {
-  if (IsAnswering) {
+  if (IsResponseStarted) {
     Core.Counts.count("stream_timeouts_total");
     abortResponse("timeout_streaming");
     return;
@@ -150,7 +151,9 @@
   };
   calls.OnBody = [self](std::string_view Bytes) { self->handleBody(Bytes); };
   calls.OnEnd = [self] { self->handleEnd(); };
-  calls.OnFailure = [self](HttpFailure Break) { self->handleBreak(Break); };
+  calls.OnFailure = [self](HttpFailure Failure) {
+    self->handleFailure(Failure);
+  };
   HttpCallOptions options{std::min(ConnectTimeout, left), left + ConnectTimeout,
                           Request.IsRepeatable ? MaxIdle
                                                : MaxIdleNonRepeatable};
@@ -173,7 +176,7 @@
   auto fields = platform::readResponseFields(NewHead.Status, NewHead.Fields);
   if (!isTrusted(NewHead)) {
     Core.Counts.count("answers_distrusted_total");
-    breakExchange(ExchangeFailure::Broken);
+    cancelExchange(ExchangeFailure::Broken);
     return;
   }
   if (fields.Load)
@@ -188,7 +191,7 @@
   bool isStreaming = Request.Route->Kind == RequestKind::Streaming &&
                      isSuccess(NewHead.Status);
   // A resumed stream keeps the head from its first endpoint.
-  if (!IsAnswering)
+  if (!IsResponseStarted)
     Head = std::move(NewHead);
   if (IsNotRun || !isStreaming)
     return;
@@ -197,9 +200,9 @@
 }
 
 void Relay::startResponse() {
-  if (IsAnswering)
+  if (IsResponseStarted)
     return;
-  IsAnswering = true;
+  IsResponseStarted = true;
   FirstByteAt = Clock::now();
   observe("first_byte_seconds", FirstByteAt - Request.ArrivedAt);
   Exchange->start(Head.Status, Head.Fields,
@@ -215,7 +218,7 @@
       writeEvents(std::move(events));
     return;
   }
-  if (IsAnswering) {
+  if (IsResponseStarted) {
     // The body of a failed attempt to resume a stream is discarded.
     if (!Body.empty() || !Request.Route->IsResumable)
       Exchange->write(std::string(Bytes));
@@ -253,7 +256,7 @@
     finish("answered", Head.Status);
     return;
   }
-  if (IsAnswering && Request.Route->Kind == RequestKind::Streaming) {
+  if (IsResponseStarted && Request.Route->Kind == RequestKind::Streaming) {
     failExchange(IsNotRun ? ExchangeFailure::Rejected : ExchangeFailure::Error);
     return;
   }
@@ -284,7 +287,7 @@
 
 /// Forwards the endpoint's own response to the caller, unchanged.
 void Relay::forwardResponse() {
-  if (IsAnswering) {
+  if (IsResponseStarted) {
     Exchange->finish();
   } else {
     observe("first_byte_seconds", Clock::now() - Request.ArrivedAt);
@@ -294,7 +297,7 @@
   finish(Head.Status < 500 ? "answered" : "endpoint_error", Head.Status);
 }
 
-void Relay::handleBreak(HttpFailure Break) {
+void Relay::handleFailure(HttpFailure Failure) {
   if (IsOver)
     return;
   Call.reset();
@@ -302,12 +305,12 @@
   if (IsNotRun)
     failExchange(ExchangeFailure::Rejected);
   else
-    failExchange(Break.WasSent ? ExchangeFailure::Broken
-                               : ExchangeFailure::Unreachable);
+    failExchange(Failure.WasSent ? ExchangeFailure::Broken
+                                 : ExchangeFailure::Unreachable);
 }
 
 /// Cancels an exchange whose response is not trusted.
-void Relay::breakExchange(ExchangeFailure Failure) {
+void Relay::cancelExchange(ExchangeFailure Failure) {
   if (Call)
     Call->cancel();
   Call.reset();
@@ -320,13 +323,13 @@
   EventBuffer.Incomplete.clear();
   if (EventBuffer.LastId)
     Request.LastEvent = EventBuffer.LastId;
-  bool hasAnswer = Failure == ExchangeFailure::Error && !IsAnswering;
+  bool hasResponse = Failure == ExchangeFailure::Error && !IsResponseStarted;
   RetryDecision after = decideRetry(Core.State, Request, Endpoint, Failure,
-                                    hasAnswer, Clock::now());
+                                    hasResponse, Clock::now());
   // Once the response has started, only a resumable stream can be retried.
   bool canRetry =
-      !IsAnswering || (Request.Route->Kind == RequestKind::Streaming &&
-                       Request.Route->IsResumable);
+      !IsResponseStarted || (Request.Route->Kind == RequestKind::Streaming &&
+                             Request.Route->IsResumable);
   if (after.IsRetry && canRetry) {
     Core.Counts.count("retries_total",
                       "reason=\"" + std::string(nameOf(*after.Why)) + "\"");
@@ -341,9 +344,9 @@
     dispatch();
     return;
   }
-  if (IsAnswering)
+  if (IsResponseStarted)
     abortResponse("answer_broken");
-  else if (hasAnswer)
+  else if (hasResponse)
     forwardResponse();
   else
     refuse(after.Refusal);
@@ -357,7 +360,7 @@
   if (Call)
     recordExchangeEnd(Core.State, Request, Endpoint);
   Call.reset();
-  if (IsAnswering) {
+  if (IsResponseStarted) {
     abortResponse(std::string(nameOf(Refusal.Reason)).c_str());
     return;
   }
--- a/front/relay.h
+++ b/front/relay.h
@@ -40,13 +40,13 @@
   void handleHead(HttpResponseHead Head);
   void handleBody(std::string_view Bytes);
   void handleEnd();
-  void handleBreak(HttpFailure Break);
+  void handleFailure(HttpFailure Failure);
   bool isTrusted(const HttpResponseHead &Head) const;
   void writeEvents(std::string Events);
   /// Records the duration of a stage in the histogram of the request's kind.
   void observe(const char *Stage, Clock::duration Span);
   void startResponse();
-  void breakExchange(ExchangeFailure Failure);
+  void cancelExchange(ExchangeFailure Failure);
   void failExchange(ExchangeFailure Failure);
   void forwardResponse();
   void refuse(const FrontRefusal &Refusal);
@@ -73,7 +73,7 @@
   bool HasHead = false;
   bool IsNotRun = false; ///< The endpoint stated that it did not run it.
   bool IsStream = false; ///< This exchange's response is forwarded in pieces.
-  bool IsAnswering = false; ///< The head was sent to the caller.
+  bool IsResponseStarted = false; ///< The head was sent to the caller.
   bool IsWaiting = false;
   bool IsOver = false;
 };
--- a/policy/endpoint_choice.cpp
+++ b/policy/endpoint_choice.cpp
@@ -7,9 +7,11 @@
 namespace {
 
 /// Consecutive failures after which an endpoint is paused.
-constexpr uint32_t PauseAfter = 2;
+constexpr uint32_t FailuresBeforePause = 2;
 /// Penalty for a failure rate of 1, as a multiple of the endpoint's slots.
 constexpr double FailurePenalty = 3.0;
+/// Penalty of an endpoint that has just started and bonus for an affinity of 1,
+/// in the same unit.
 constexpr double WarmUpPenalty = 0.5;
 constexpr double AffinityBonus = 0.05;
 
@@ -119,7 +121,7 @@
 void recordFailure(EndpointRecord &Record, bool IsCertain, TimePoint Now) {
   Record.FailureRate += (1 - Record.FailureRate) * OutcomeWeight;
   ++Record.ConsecutiveFailures;
-  if (!IsCertain && Record.ConsecutiveFailures < PauseAfter)
+  if (!IsCertain && Record.ConsecutiveFailures < FailuresBeforePause)
     return;
   uint32_t doublings = std::min<uint32_t>(Record.ConsecutiveFailures - 1, 4);
   Record.PausedUntil =
--- a/policy/endpoint_choice.h
+++ b/policy/endpoint_choice.h
@@ -35,7 +35,7 @@
 inline constexpr double CrossZonePenalty = 0.2;
 /// Requests expected to reach the candidates from all fronts before newer load
 /// reports arrive, as a share of the requests they hold: a report is up to 1.2
-/// s old and a request runs for about 1.7 s.
+/// s old and a request is held for about 1.7 s.
 inline constexpr double ExpectedArrivalShare = 0.7;
 /// Requests that an endpoint may hold beyond its slots, as a share of the
 /// slots. Further requests wait at the front, where they can still go to
--- a/policy/idling.cpp
+++ b/policy/idling.cpp
@@ -22,8 +22,8 @@
   return std::chrono::duration<double>(Span).count();
 }
 
-/// Sum over the counted gaps of their cost when the row is unloaded after
-/// \p Limit seconds idle.
+/// Expected cost, summed over the recorded gaps, if the row is unloaded after
+/// \p Limit seconds without a request.
 double expectedCost(const GapHistogram &Gaps, double Limit,
                     const IdleWeights &Weights) {
   double cost = 0;
--- a/policy/model_plan.cpp
+++ b/policy/model_plan.cpp
@@ -28,8 +28,8 @@
 /// An engine that is blocked by an order for longer than this is not counted as
 /// one where a model can be loaded soon.
 constexpr Millis MaxWaitForEngine{2'500};
-/// Number of models of one engine that are considered for eviction. All subsets
-/// are tried; an engine holds only a few models.
+/// Maximum number of models of one engine that are considered for eviction. All
+/// subsets are tried; an engine holds only a few models.
 constexpr size_t MaxVictims = 8;
 /// Granularity in MB of the memory accounting.
 constexpr uint64_t MemoryStep = 100;
@@ -375,8 +375,8 @@
   PlanView view{Input, gather(Input), {}, 0};
   buildMemoryTable(view);
   std::set<size_t> taken;
-  size_t underWay = Input.LoadsInProgress;
-  size_t storeUnderWay = Input.StoreLoadsInProgress;
+  size_t loadsInProgress = Input.LoadsInProgress;
+  size_t storeLoadsInProgress = Input.StoreLoadsInProgress;
   uint32_t storeLeft = Input.StoreLoadsAllowed;
   std::vector<LoadCandidate> candidates = listLoadCandidates(view.States);
   bool hasLost = std::any_of(
@@ -384,11 +384,11 @@
         return it.IsUrgent && view.States[it.Name].NearbyEngines == 0;
       });
   for (const LoadCandidate &candidate : candidates) {
-    if (!candidate.IsUrgent && underWay >= MaxProactiveLoads)
+    if (!candidate.IsUrgent && loadsInProgress >= MaxProactiveLoads)
       continue;
     ModelState &state = view.States[candidate.Name];
-    size_t places = storeLoadLimit(state, Input, hasLost);
-    bool mayUseStore = storeLeft > 0 && storeUnderWay < places;
+    size_t storeLimit = storeLoadLimit(state, Input, hasLost);
+    bool mayUseStore = storeLeft > 0 && storeLoadsInProgress < storeLimit;
     auto option = cheapestLoad(candidate.Name, state, view, taken, mayUseStore);
     if (!option)
       continue;
@@ -402,13 +402,13 @@
     option->Load.IsUrgent = candidate.IsUrgent;
     if (option->Load.IsFromStore) {
       --storeLeft;
-      ++storeUnderWay;
+      ++storeLoadsInProgress;
     }
     for (const std::string &it : option->Load.Evict)
       if (view.States[it].Replicas > 0)
         --view.States[it].Replicas;
     ++state.Replicas;
-    ++underWay;
+    ++loadsInProgress;
     taken.insert(option->Load.Engine);
     out.push_back(std::move(option->Load));
   }
--- a/policy/placement.cpp
+++ b/policy/placement.cpp
@@ -195,11 +195,11 @@
 /// first. Returns false when the endpoint cannot free enough memory.
 bool Planner::evictFor(const wire::Endpoint &Endpoint, uint64_t MemoryMb,
                        const std::string &KeptRow) {
-  int64_t room = freeMemory(Endpoint);
+  int64_t freeMb = freeMemory(Endpoint);
   std::vector<const wire::Replica *> victims;
   for (const wire::Replica *it : ByEndpoint[Endpoint.name()]) {
     if (it->phase() == wire::PHASE_UNLOADING || PlannedUnloads.contains(it))
-      room += static_cast<int64_t>(it->memory_mb());
+      freeMb += static_cast<int64_t>(it->memory_mb());
     else if (mayUnload(*it) && it->row() != KeptRow && !isWanted(*it) &&
              useOf(*it)->Idle >= EvictionIdle)
       victims.push_back(it);
@@ -215,12 +215,12 @@
                    });
   std::vector<const wire::Replica *> chosen;
   for (const wire::Replica *it : victims) {
-    if (room >= needed)
+    if (freeMb >= needed)
       break;
-    room += static_cast<int64_t>(it->memory_mb());
+    freeMb += static_cast<int64_t>(it->memory_mb());
     chosen.push_back(it);
   }
-  if (room < needed)
+  if (freeMb < needed)
     return false;
   for (const wire::Replica *it : chosen)
     unload(*it);
--- a/policy/rate_share.cpp
+++ b/policy/rate_share.cpp
@@ -10,6 +10,8 @@
 /// Tolerance in tokens for rounding when the level is compared with the cost of
 /// a request.
 constexpr double RoundingTolerance = 0.5;
+/// Interval over which the demand rate is computed, and smoothing factor of the
+/// rate: weight of the newest interval.
 constexpr Millis DemandInterval{500};
 constexpr double DemandWeight = 0.25;
 /// Smoothing factor of the means of cost and worth.
--- a/policy/store_pace.h
+++ b/policy/store_pace.h
@@ -15,7 +15,7 @@
 
 namespace sassafras {
 
-/// Limit before any load was measured, and the bounds of the limit.
+/// Limit before the first finished load, and the bounds of the limit.
 inline constexpr size_t InitialStoreLoadLimit = 3;
 inline constexpr size_t MinStoreLoadLimit = 2;
 inline constexpr size_t MaxStoreLoadLimit = 8;
@@ -27,8 +27,9 @@
 inline constexpr Millis ProbeBackoff{30'000};
 
 struct StoreConcurrency {
+  /// Estimated number of concurrent loads that the store serves at full speed.
   size_t MaxLoads = InitialStoreLoadLimit;
-  TimePoint ProbeAfter;
+  TimePoint ProbeAfter; ///< The limit is not raised before this time.
 };
 
 /// Adjusts the limit after a load that took \p Taken, would have taken \p Alone
--- a/policy/token_bank.cpp
+++ b/policy/token_bank.cpp
@@ -18,27 +18,27 @@
 
 void recordHeadroom(OrganisationBucket &Bucket, OrganisationRate Rate,
                     TimePoint Now) {
-  double room = headroom(Bucket, Rate);
-  auto &marks = Bucket.Headroom;
-  if (marks.empty() || Now - marks.back().SlotStart >= HeadroomSlot)
-    marks.push_back({Now, room});
-  marks.back().Minimum = std::min(marks.back().Minimum, room);
-  if (marks.size() > HeadroomSlots)
-    marks.pop_front();
+  double current = headroom(Bucket, Rate);
+  auto &samples = Bucket.Headroom;
+  if (samples.empty() || Now - samples.back().SlotStart >= HeadroomSlot)
+    samples.push_back({Now, current});
+  samples.back().Minimum = std::min(samples.back().Minimum, current);
+  if (samples.size() > HeadroomSlots)
+    samples.pop_front();
 }
 
 /// Refills the bucket up to \p Now. Outstanding grants reduce the level that it
 /// can reach.
 void refillUntil(OrganisationBucket &Bucket, OrganisationRate Rate,
                  TimePoint Now) {
-  double room = static_cast<double>(Rate.Burst) -
-                static_cast<double>(Bucket.OutstandingTokens);
+  double maxLevel = static_cast<double>(Rate.Burst) -
+                    static_cast<double>(Bucket.OutstandingTokens);
   if (Now > Bucket.RefilledAt) {
     std::chrono::duration<double> passed = Now - Bucket.RefilledAt;
     Bucket.Level += static_cast<double>(Rate.Rate) * passed.count();
     Bucket.RefilledAt = Now;
   }
-  Bucket.Level = std::max(0.0, std::min(Bucket.Level, room));
+  Bucket.Level = std::max(0.0, std::min(Bucket.Level, maxLevel));
 }
 
 OrganisationBucket &refill(TokenBuckets &State, const std::string &Organisation,
@@ -105,13 +105,13 @@
   auto grant = bucket.Outstanding.find(Id);
   if (grant == bucket.Outstanding.end())
     return;
-  uint64_t back = std::min(Unspent, grant->second.Tokens);
+  uint64_t returned = std::min(Unspent, grant->second.Tokens);
   bucket.OutstandingTokens -= grant->second.Tokens;
   bucket.Outstanding.erase(grant);
-  double room = static_cast<double>(Rate.Burst) -
-                static_cast<double>(bucket.OutstandingTokens);
-  bucket.Level =
-      std::max(0.0, std::min(bucket.Level + static_cast<double>(back), room));
+  double maxLevel = static_cast<double>(Rate.Burst) -
+                    static_cast<double>(bucket.OutstandingTokens);
+  bucket.Level = std::max(
+      0.0, std::min(bucket.Level + static_cast<double>(returned), maxLevel));
 }
 
 void refundCharge(TokenBuckets &State, const std::string &Organisation,
@@ -120,19 +120,19 @@
   if (!State.Buckets.contains(Organisation))
     return;
   OrganisationBucket &bucket = refill(State, Organisation, Rate, Now);
-  const auto &marks = bucket.Headroom;
+  const auto &samples = bucket.Headroom;
   // The bucket may have been full since a charge older than the oldest sample.
-  if (marks.empty() || ChargedAt < marks.front().SlotStart)
+  if (samples.empty() || ChargedAt < samples.front().SlotStart)
     return;
-  double least = static_cast<double>(Tokens);
-  for (auto it = marks.rbegin(); it != marks.rend(); ++it) {
-    least = std::min(least, it->Minimum);
+  double refund = static_cast<double>(Tokens);
+  for (auto it = samples.rbegin(); it != samples.rend(); ++it) {
+    refund = std::min(refund, it->Minimum);
     if (it->SlotStart <= ChargedAt)
       break;
   }
-  bucket.Level += least;
+  bucket.Level += refund;
   for (HeadroomSample &it : bucket.Headroom)
-    it.Minimum = std::max(0.0, it.Minimum - least);
+    it.Minimum = std::max(0.0, it.Minimum - refund);
 }
 
 } // namespace sassafras
--- a/tests/front/test_dispatch.cpp
+++ b/tests/front/test_dispatch.cpp
@@ -83,8 +83,8 @@
   applySighting(State.Directory, it, Start);
 }
 
-RequestAttributes facts(const std::string &Path,
-                        const std::string &Model = "m") {
+RequestAttributes makeAttributes(const std::string &Path,
+                                 const std::string &Model = "m") {
   RequestAttributes out;
   out.Id = "id";
   out.Host = "h";
@@ -95,7 +95,7 @@
 }
 
 FrontRequest admit(FrontState &State, const std::string &Path) {
-  auto out = admitRequest(State, facts(Path), Start);
+  auto out = admitRequest(State, makeAttributes(Path), Start);
   REQUIRE(std::holds_alternative<FrontRequest>(out));
   static uint64_t number = 0;
   std::get<FrontRequest>(out).Number = ++number;
@@ -252,17 +252,17 @@
     RequestAttributes Attributes;
     RefusalReason Reason;
   };
-  RequestAttributes noKey = facts("/safe/x");
+  RequestAttributes noKey = makeAttributes("/safe/x");
   noKey.Key.clear();
-  RequestAttributes wrongKey = facts("/safe/x");
+  RequestAttributes wrongKey = makeAttributes("/safe/x");
   wrongKey.Key = "other";
-  RequestAttributes noHost = facts("/safe/x");
+  RequestAttributes noHost = makeAttributes("/safe/x");
   noHost.Host.clear();
   const Case cases[] = {
       {"no key", noKey, RefusalReason::KeyMissing},
       {"unknown key", wrongKey, RefusalReason::KeyUnknown},
       {"no host", noHost, RefusalReason::BadRequest},
-      {"no route", facts("/none/x"), RefusalReason::RouteUnknown},
+      {"no route", makeAttributes("/none/x"), RefusalReason::RouteUnknown},
   };
   for (const Case &it : cases) {
     INFO(it.What);
@@ -273,7 +273,7 @@
     CHECK(refusal->Reason == it.Reason);
   }
   FrontState withoutTable;
-  auto out = admitRequest(withoutTable, facts("/safe/x"), Start);
+  auto out = admitRequest(withoutTable, makeAttributes("/safe/x"), Start);
   REQUIRE(std::get_if<FrontRefusal>(&out));
   CHECK(statusOf(std::get_if<FrontRefusal>(&out)->Reason) == 503);
 }
@@ -293,7 +293,8 @@
   CHECK(std::get_if<SendTo>(&sent.Decision)->Endpoint == "d1");
 }
 
-TEST_CASE("cold model is waited for only while its load can be over in time") {
+TEST_CASE(
+    "request waits for a cold model only while its load can complete in time") {
   FrontState state = makeState();
   addEndpoint(state, "e1", "chat", "10.0.0.1:80", {}, {"m"});
   FrontRequest onDisk = admit(state, "/stream/x");
@@ -334,22 +335,22 @@
   TimePoint now = Start + Millis(50);
   auto timeLeft =
       std::chrono::duration_cast<Millis>(request.FirstByteDeadline - now);
-  ModelUsage &row = state.ModelUsages["m"];
-  row.ForecastAt = now;
-  row.ReadyAt = now + timeLeft * 3 / 4;
+  ModelUsage &usage = state.ModelUsages["m"];
+  usage.ForecastAt = now;
+  usage.ReadyAt = now + timeLeft * 3 / 4;
   CHECK(std::holds_alternative<WaitUntil>(
       decideDispatch(state, request, now).Decision));
-  row.ReadyAt = now + timeLeft - Millis(50);
+  usage.ReadyAt = now + timeLeft - Millis(50);
   const DispatchResult refused = decideDispatch(state, request, now);
   REQUIRE(refusalOf(refused) != nullptr);
   CHECK(refusalOf(refused)->RetryAfter >= timeLeft - Millis(50));
-  CHECK(row.RetryExpectedUntil - now >= state.Limits.MinDemandRetention);
-  row.ReadyAt = now + Millis(7'000);
+  CHECK(usage.RetryExpectedUntil - now >= state.Limits.MinDemandRetention);
+  usage.ReadyAt = now + Millis(7'000);
   REQUIRE(refusalOf(decideDispatch(state, request, now)) != nullptr);
-  CHECK(row.RetryExpectedUntil - now >= Millis(7'000));
-  row.ReadyAt = now + std::chrono::minutes(1);
+  CHECK(usage.RetryExpectedUntil - now >= Millis(7'000));
+  usage.ReadyAt = now + std::chrono::minutes(1);
   REQUIRE(refusalOf(decideDispatch(state, request, now)) != nullptr);
-  CHECK(row.RetryExpectedUntil - now == state.Limits.MaxDemandRetention);
+  CHECK(usage.RetryExpectedUntil - now == state.Limits.MaxDemandRetention);
 }
 
 // Several models were on the disk of only one engine. Those with slightly more
@@ -364,10 +365,10 @@
   request.Deadline = request.FirstByteDeadline;
   auto reportedWorth = [&](Millis After) {
     TimePoint now = Start + After;
-    ModelUsage &row = state.ModelUsages["m"];
-    row.ForecastAt = now;
-    row.ReadyAt = now + Millis(500);
-    row.NextDemandReport = TimePoint();
+    ModelUsage &usage = state.ModelUsages["m"];
+    usage.ForecastAt = now;
+    usage.ReadyAt = now + Millis(500);
+    usage.NextDemandReport = TimePoint();
     state.Directory.Endpoints["e1"].HeardAt = now;
     state.Leader.HeardAt = now;
     auto demand = decideDispatch(state, request, now).DemandReport;
@@ -388,9 +389,9 @@
   FrontState state = makeState();
   addEndpoint(state, "e1", "chat", "10.0.0.1:80", {}, {"m"});
   FrontRequest request = admit(state, "/stream/x");
-  ModelUsage &row = state.ModelUsages["m"];
-  row.ForecastAt = Start;
-  row.ReadyAt = Start + Millis(9'000);
+  ModelUsage &usage = state.ModelUsages["m"];
+  usage.ForecastAt = Start;
+  usage.ReadyAt = Start + Millis(9'000);
   CHECK(refusalOf(decideDispatch(state, request, Start)));
   FrontRequest later = admit(state, "/stream/x");
   auto result = decideDispatch(state, later, Start + Millis(1'100));
@@ -454,7 +455,7 @@
   struct Case {
     const char *Path;
     ExchangeFailure Failure;
-    bool HasAnswer;
+    bool HasResponse;
     bool IsRetry;
     unsigned Status; ///< Of the refusal if there is no retry.
   };
@@ -476,8 +477,8 @@
     FrontRequest request = admit(state, it.Path);
     const char *endpoint = request.Service == "desk" ? "d1" : "e1";
     recordDispatch(state, request, endpoint);
-    RetryDecision after =
-        decideRetry(state, request, endpoint, it.Failure, it.HasAnswer, Start);
+    RetryDecision after = decideRetry(state, request, endpoint, it.Failure,
+                                      it.HasResponse, Start);
     CHECK(after.IsRetry == it.IsRetry);
     // Only a request that certainly did not run may be reported as not run.
     bool saysNotRun = statusOf(after.Refusal.Reason) == 503;
--- a/tests/front/test_early_requests.cpp
+++ b/tests/front/test_early_requests.cpp
@@ -13,11 +13,11 @@
 const TimePoint Start = TimePoint() + std::chrono::hours(1);
 
 /// Exchanges are compared by address here, never dereferenced.
-std::array<char, 400> Places;
+std::array<char, 400> ExchangeStorage;
 
 std::shared_ptr<HttpExchange> exchangeAt(size_t Position) {
   return {std::shared_ptr<void>(),
-          reinterpret_cast<HttpExchange *>(&Places.at(Position))};
+          reinterpret_cast<HttpExchange *>(&ExchangeStorage.at(Position))};
 }
 
 EarlyRequest request(size_t Position, TimePoint At) {
--- a/tests/front/test_leader_work.cpp
+++ b/tests/front/test_leader_work.cpp
@@ -145,12 +145,12 @@
 // callers were refused two seconds before it was done.
 TEST_CASE("load that started late is forecast from its actual start") {
   LeaderFixture fixture;
-  TimePoint begun = Start + Millis(2'400);
-  fixture.reportEngine("", true, begun);
-  CHECK(fixture.readyAt(begun) == begun + StoreLoad);
+  TimePoint startedAt = Start + Millis(2'400);
+  fixture.reportEngine("", true, startedAt);
+  CHECK(fixture.readyAt(startedAt) == startedAt + StoreLoad);
   TimePoint later = Start + Millis(7'000);
   fixture.reportEngine("", true, later);
-  CHECK(fixture.readyAt(later) == begun + StoreLoad);
+  CHECK(fixture.readyAt(later) == startedAt + StoreLoad);
 }
 
 TEST_CASE("load that waits for an unload does not count as started") {
