--- a/bench/site.cpp
+++ b/bench/site.cpp
@@ -168,10 +168,10 @@
 /// Adds the session of a caller: an initial burst of requests over many
 /// entries, then a few more with pauses.
 void Simulation::addSession(TimePoint At, int Organisation, double LoadFactor) {
-  std::uniform_real_distribution<double> share(0, 1);
+  std::uniform_real_distribution<double> draw(0, 1);
   int total = ModelCount + Options.Adapters;
   // A few rows are requested often, most rarely.
-  int rank = static_cast<int>(std::pow(share(Random), 2.2) * total);
+  int rank = static_cast<int>(std::pow(draw(Random), 2.2) * total);
   const wire::TableRow &row =
       Rows[OrganisationCount + static_cast<size_t>(rank * 37 % total)];
   int first = 1 + static_cast<int>(Random() % 4);
@@ -388,11 +388,12 @@
   schedule(TickPeriod, [this] { tick(); });
 }
 
-double percentile(std::vector<double> Values, double Share) {
+double percentile(std::vector<double> Values, double Fraction) {
   if (Values.empty())
     return 0;
   std::sort(Values.begin(), Values.end());
-  auto index = static_cast<size_t>(Share * static_cast<double>(Values.size()));
+  auto index =
+      static_cast<size_t>(Fraction * static_cast<double>(Values.size()));
   return Values[std::min(index, Values.size() - 1)];
 }
 
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -607,8 +607,8 @@
 
 /// Dispatches only the requests that wait for tokens of \p Organisation.
 void FrontShell::dispatchWaitingForTokens(const std::string &Organisation) {
-  auto waiting = Core.State.Quotas[Organisation].WaitingCosts;
-  for (const auto &[number, cost] : waiting) {
+  auto waitingCosts = Core.State.Quotas[Organisation].WaitingCosts;
+  for (const auto &[number, cost] : waitingCosts) {
     auto relay = Core.Relays.find(number);
     if (relay == Core.Relays.end())
       continue;
--- a/front/relay.cpp
+++ b/front/relay.cpp
@@ -151,8 +151,8 @@
   };
   calls.OnBody = [self](std::string_view Bytes) { self->handleBody(Bytes); };
   calls.OnEnd = [self] { self->handleEnd(); };
-  calls.OnFailure = [self](HttpFailure Failure) {
-    self->handleFailure(Failure);
+  calls.OnFailure = [self](HttpFailure CallFailure) {
+    self->handleFailure(CallFailure);
   };
   HttpCallOptions options{std::min(ConnectTimeout, left), left + ConnectTimeout,
                           Request.IsRepeatable ? MaxIdle
@@ -297,7 +297,7 @@
   finish(Head.Status < 500 ? "answered" : "endpoint_error", Head.Status);
 }
 
-void Relay::handleFailure(HttpFailure Failure) {
+void Relay::handleFailure(HttpFailure CallFailure) {
   if (IsOver)
     return;
   Call.reset();
@@ -305,8 +305,8 @@
   if (IsNotRun)
     failExchange(ExchangeFailure::Rejected);
   else
-    failExchange(Failure.WasSent ? ExchangeFailure::Broken
-                                 : ExchangeFailure::Unreachable);
+    failExchange(CallFailure.WasSent ? ExchangeFailure::Broken
+                                     : ExchangeFailure::Unreachable);
 }
 
 /// Cancels an exchange whose response is not trusted.
--- a/front/relay.h
+++ b/front/relay.h
@@ -40,7 +40,7 @@
   void handleHead(HttpResponseHead Head);
   void handleBody(std::string_view Bytes);
   void handleEnd();
-  void handleFailure(HttpFailure Failure);
+  void handleFailure(HttpFailure CallFailure);
   bool isTrusted(const HttpResponseHead &Head) const;
   void writeEvents(std::string Events);
   /// Records the duration of a stage in the histogram of the request's kind.
--- a/policy/held_grants.cpp
+++ b/policy/held_grants.cpp
@@ -56,11 +56,11 @@
                  uint64_t Tokens, TimePoint ChargedAt, TimePoint Now) {
   if (Tokens == 0)
     return;
-  wire::GrantReturn back;
-  back.set_tenant(Organisation);
-  back.set_unspent(Tokens);
-  back.set_charged_ago_ms(toMillis(Now - ChargedAt + RefundMargin));
-  Held.Returns.push_back(std::move(back));
+  wire::GrantReturn returned;
+  returned.set_tenant(Organisation);
+  returned.set_unspent(Tokens);
+  returned.set_charged_ago_ms(toMillis(Now - ChargedAt + RefundMargin));
+  Held.Returns.push_back(std::move(returned));
 }
 
 void returnGrants(HeldGrants &Held, bool All, TimePoint Now) {
@@ -69,11 +69,11 @@
       if (!All && Now < it.Expires - ReturnMargin)
         return false;
       if (it.Tokens > 0 && !isPast(it.Expires, Now)) {
-        wire::GrantReturn back;
-        back.set_grant(it.Id);
-        back.set_tenant(entry.first);
-        back.set_unspent(it.Tokens);
-        Held.Returns.push_back(std::move(back));
+        wire::GrantReturn returned;
+        returned.set_grant(it.Id);
+        returned.set_tenant(entry.first);
+        returned.set_unspent(it.Tokens);
+        Held.Returns.push_back(std::move(returned));
       }
       return true;
     });
--- a/tests/policy/test_overload.cpp
+++ b/tests/policy/test_overload.cpp
@@ -355,34 +355,34 @@
   StoreConcurrency Concurrency;
   TimePoint Now = Start;
   struct Load {
-    TimePoint BegunAt;
+    TimePoint StartedAt;
     TimePoint EndsAt;
     size_t ConcurrentLoads;
   };
-  std::deque<Load> UnderWay;
+  std::deque<Load> LoadsInProgress;
   int Done = 0;
   Millis Longest{0};
 
   void run(std::chrono::seconds Span) {
     const Millis alone(7'800);
     for (TimePoint end = Now + Span; Now < end; Now += Millis(100)) {
-      std::erase_if(UnderWay, [&](const Load &it) {
+      std::erase_if(LoadsInProgress, [&](const Load &it) {
         if (it.EndsAt > Now)
           return false;
-        auto taken = std::chrono::duration_cast<Millis>(Now - it.BegunAt);
+        auto taken = std::chrono::duration_cast<Millis>(Now - it.StartedAt);
         recordStoreLoad(Concurrency, it.ConcurrentLoads, alone, taken, Now);
         Longest = std::max(Longest, taken);
         ++Done;
         return true;
       });
-      if (UnderWay.size() >= Concurrency.MaxLoads)
+      if (LoadsInProgress.size() >= Concurrency.MaxLoads)
         continue;
-      size_t concurrentLoads = UnderWay.size() + 1;
+      size_t concurrentLoads = LoadsInProgress.size() + 1;
       auto factor = std::max(1.0, static_cast<double>(concurrentLoads) /
                                       static_cast<double>(FullSpeedLoads));
-      UnderWay.push_back({Now,
-                          Now + Millis(static_cast<int64_t>(7'800 * factor)),
-                          concurrentLoads});
+      LoadsInProgress.push_back(
+          {Now, Now + Millis(static_cast<int64_t>(7'800 * factor)),
+           concurrentLoads});
     }
   }
 };
@@ -548,9 +548,9 @@
     INFO("seed " << seed);
     CHECK(HerdSimulation({}, seed).overloadedShare() < 0.02);
     // Without an engine in the front's zone, only load decides.
-    HerdOptions far;
-    far.HasLocalEngine = false;
-    CHECK(HerdSimulation(far, seed).overloadedShare() < 0.02);
+    HerdOptions noLocalEngine;
+    noLocalEngine.HasLocalEngine = false;
+    CHECK(HerdSimulation(noLocalEngine, seed).overloadedShare() < 0.02);
   }
 }
 
@@ -614,9 +614,9 @@
 /// Result of requests of one organisation, sent for 40 s to all fronts with
 /// callers spread unevenly.
 struct QuotaRunResult {
-  double MostInWindow = 0;
+  double MaxInWindow = 0; ///< Tokens granted within the limit's window.
   uint64_t Refused = 0;
-  uint64_t Asked = 0;
+  uint64_t Requests = 0;
 };
 
 /// Where fronts get their tokens from.
@@ -635,8 +635,8 @@
   std::vector<std::string> names;
   for (size_t i = 0; i < FrontWeights.size(); ++i)
     names.push_back("f" + std::to_string(i));
-  std::discrete_distribution<size_t> place(FrontWeights.begin(),
-                                           FrontWeights.end());
+  std::discrete_distribution<size_t> pickFront(FrontWeights.begin(),
+                                               FrontWeights.end());
   std::uniform_real_distribution<double> size(300, 2'500);
   std::exponential_distribution<double> gap(RequestedRate / 1'400);
   std::deque<std::pair<TimePoint, double>> window;
@@ -656,9 +656,9 @@
       for (size_t i = 0; i < fronts.size(); ++i)
         setShare(fronts[i], shares[names[i]], now);
     }
-    LocalQuota &front = fronts[place(random)];
+    LocalQuota &front = fronts[pickFront(random)];
     double cost = size(random);
-    ++out.Asked;
+    ++out.Requests;
     recordDemand(front, {cost, 1}, now);
     bool isGranted = takeQuota(front, limit, {cost, 1}, fronts.size(), now);
     if (!isGranted && limit.HasPool) {
@@ -678,7 +678,7 @@
       sum -= window.front().second;
       window.pop_front();
     }
-    out.MostInWindow = std::max(out.MostInWindow, sum);
+    out.MaxInWindow = std::max(out.MaxInWindow, sum);
   }
   return out;
 }
@@ -697,7 +697,7 @@
                   << seed);
         QuotaRunResult run = simulateQuota(
             rate, rate * 6, {8, 1, 3, 1, 1, 2, 5, 1, 1}, source, seed);
-        CHECK(run.MostInWindow <= windowBound(rate));
+        CHECK(run.MaxInWindow <= windowBound(rate));
       }
 }
 
@@ -708,7 +708,7 @@
       QuotaRunResult run = simulateQuota(
           40'000, 22'000, {8, 1, 3, 1, 1, 2, 5, 1, 1}, source, seed);
       CHECK(static_cast<double>(run.Refused) <=
-            0.02 * static_cast<double>(run.Asked));
+            0.02 * static_cast<double>(run.Requests));
     }
 }
 
@@ -722,13 +722,13 @@
     INFO("seed " << seed);
     QuotaRunResult run =
         simulateQuota(4'200, 2'300, fronts, QuotaSource::Pool, seed);
-    INFO(run.Refused << " of " << run.Asked);
+    INFO(run.Refused << " of " << run.Requests);
     CHECK(static_cast<double>(run.Refused) <=
-          0.02 * static_cast<double>(run.Asked));
-    CHECK(run.MostInWindow <= windowBound(4'200));
+          0.02 * static_cast<double>(run.Requests));
+    CHECK(run.MaxInWindow <= windowBound(4'200));
     QuotaRunResult overLimit =
         simulateQuota(4'200, 25'000, fronts, QuotaSource::Pool, seed);
-    CHECK(overLimit.MostInWindow <= windowBound(4'200));
+    CHECK(overLimit.MaxInWindow <= windowBound(4'200));
   }
 }
 
@@ -752,12 +752,12 @@
   double first = burstOf(limit) * PoolInitialFraction;
   CHECK(drawFromPool(pool, limit, {first, first, false}, false, Start, Start)
             .Granted == first);
-  PoolGrant answer =
+  PoolGrant grant =
       drawFromPool(pool, limit, {500, 500, false}, false, Start, Start);
-  CHECK(answer.Granted == 0);
-  CHECK(answer.Wait > Millis(0));
+  CHECK(grant.Granted == 0);
+  CHECK(grant.Wait > Millis(0));
   CHECK(drawFromPool(pool, limit, {500, 500, false}, false, Start,
-                     Start + answer.Wait + Millis(1))
+                     Start + grant.Wait + Millis(1))
             .Granted == 500);
 }
 
@@ -781,7 +781,7 @@
   LocalQuota front;
   struct Kind {
     QuotaCharge Charge;
-    int Asked = 0;
+    int Requests = 0;
     int Served = 0;
   };
   Kind kinds[] = {{{1'100, 2.8}}, {{200, 0.5}}, {{1'100, 8.5}}};
@@ -790,12 +790,12 @@
   for (TimePoint now = Start; now < Start + std::chrono::seconds(30);
        now += Millis(10)) {
     Kind &it = kinds[mix(random)];
-    ++it.Asked;
+    ++it.Requests;
     recordDemand(front, it.Charge, now);
     it.Served += takeQuota(front, limit, it.Charge, 1, now);
   }
   auto part = [](const Kind &it) {
-    return static_cast<double>(it.Served) / it.Asked;
+    return static_cast<double>(it.Served) / it.Requests;
   };
   // 20,000 tokens per second less those of the other kinds, of 77,000
   // requested.
--- a/tests/policy/test_token_bank.cpp
+++ b/tests/policy/test_token_bank.cpp
@@ -16,7 +16,7 @@
 constexpr OrganisationRate Rate{100, 400};
 const TimePoint Start = TimePoint() + std::chrono::hours(1);
 
-TokenBuckets bucketsOpenAt(TimePoint Now) {
+TokenBuckets bucketsAvailableAt(TimePoint Now) {
   TokenBuckets buckets;
   resetBuckets(buckets, Now - timing::GrantLifetimeAtIssuer);
   return buckets;
@@ -58,13 +58,13 @@
   TokenBuckets buckets;
   resetBuckets(buckets, Start);
   CHECK(take(buckets, 100, Start) == 0);
-  TimePoint opens = Start + timing::GrantLifetimeAtIssuer;
-  CHECK(take(buckets, 100, opens) == 0);
-  CHECK(take(buckets, 100, opens + Millis(500)) == 50);
+  TimePoint availableFrom = Start + timing::GrantLifetimeAtIssuer;
+  CHECK(take(buckets, 100, availableFrom) == 0);
+  CHECK(take(buckets, 100, availableFrom + Millis(500)) == 50);
 }
 
 TEST_CASE("bucket counts outstanding grants against the burst") {
-  TokenBuckets buckets = bucketsOpenAt(Start);
+  TokenBuckets buckets = bucketsAvailableAt(Start);
   CHECK(take(buckets, 1, Start) == 0);
   TimePoint full = Start + std::chrono::seconds(10);
   CHECK(take(buckets, 1000, full) == 400);
@@ -74,7 +74,7 @@
 }
 
 TEST_CASE("bucket takes a returned grant once, and never more than it issued") {
-  TokenBuckets buckets = bucketsOpenAt(Start);
+  TokenBuckets buckets = bucketsAvailableAt(Start);
   take(buckets, 1, Start);
   TimePoint now = Start + std::chrono::seconds(10);
   auto grant = issueGrant(buckets, "alpha", Rate, {"e", 300, 1}, now);
@@ -87,7 +87,7 @@
 
 TEST_CASE(
     "bucket reserves tokens for a large demand that small ones would starve") {
-  TokenBuckets buckets = bucketsOpenAt(Start);
+  TokenBuckets buckets = bucketsAvailableAt(Start);
   take(buckets, 1, Start);
   TimePoint now = Start + Millis(1000);
   CHECK(take(buckets, 300, now, 300, "large") == 0);
@@ -106,7 +106,7 @@
 }
 
 TEST_CASE("refund is limited by the headroom of the bucket since the charge") {
-  TokenBuckets buckets = bucketsOpenAt(Start);
+  TokenBuckets buckets = bucketsAvailableAt(Start);
   take(buckets, 1, Start);
   TimePoint now = Start + std::chrono::seconds(10);
   REQUIRE(take(buckets, 400, now) == 400);
@@ -125,7 +125,7 @@
     auto chance = [&](int Percent) {
       return static_cast<int>(random() % 100) < Percent;
     };
-    TokenBuckets buckets = bucketsOpenAt(Start);
+    TokenBuckets buckets = bucketsAvailableAt(Start);
     HeldGrants holders[2];
     std::vector<Spending> spent;
     std::vector<std::pair<TimePoint, wire::GrantReply>> replies[2];
