--- a/tests/policy/test_overload.cpp
+++ b/tests/policy/test_overload.cpp
@@ -616,7 +616,7 @@
 struct QuotaRunResult {
   double MaxInWindow = 0; ///< Tokens granted within the limit's window.
   uint64_t Refused = 0;
-  uint64_t Requests = 0;
+  uint64_t RequestCount = 0;
 };
 
 /// Where fronts get their tokens from.
@@ -658,7 +658,7 @@
     }
     LocalQuota &front = fronts[pickFront(random)];
     double cost = size(random);
-    ++out.Requests;
+    ++out.RequestCount;
     recordDemand(front, {cost, 1}, now);
     bool isGranted = takeQuota(front, limit, {cost, 1}, fronts.size(), now);
     if (!isGranted && limit.HasPool) {
@@ -708,7 +708,7 @@
       QuotaRunResult run = simulateQuota(
           40'000, 22'000, {8, 1, 3, 1, 1, 2, 5, 1, 1}, source, seed);
       CHECK(static_cast<double>(run.Refused) <=
-            0.02 * static_cast<double>(run.Requests));
+            0.02 * static_cast<double>(run.RequestCount));
     }
 }
 
@@ -722,9 +722,9 @@
     INFO("seed " << seed);
     QuotaRunResult run =
         simulateQuota(4'200, 2'300, fronts, QuotaSource::Pool, seed);
-    INFO(run.Refused << " of " << run.Requests);
+    INFO(run.Refused << " of " << run.RequestCount);
     CHECK(static_cast<double>(run.Refused) <=
-          0.02 * static_cast<double>(run.Requests));
+          0.02 * static_cast<double>(run.RequestCount));
     CHECK(run.MaxInWindow <= windowBound(4'200));
     QuotaRunResult overLimit =
         simulateQuota(4'200, 25'000, fronts, QuotaSource::Pool, seed);
@@ -781,7 +781,7 @@
   LocalQuota front;
   struct Kind {
     QuotaCharge Charge;
-    int Requests = 0;
+    int RequestCount = 0;
     int Served = 0;
   };
   Kind kinds[] = {{{1'100, 2.8}}, {{200, 0.5}}, {{1'100, 8.5}}};
@@ -790,12 +790,12 @@
   for (TimePoint now = Start; now < Start + std::chrono::seconds(30);
        now += Millis(10)) {
     Kind &it = kinds[mix(random)];
-    ++it.Requests;
+    ++it.RequestCount;
     recordDemand(front, it.Charge, now);
     it.Served += takeQuota(front, limit, it.Charge, 1, now);
   }
   auto part = [](const Kind &it) {
-    return static_cast<double>(it.Served) / it.Requests;
+    return static_cast<double>(it.Served) / it.RequestCount;
   };
   // 20,000 tokens per second less those of the other kinds, of 77,000
   // requested.
