--- a/agent/agent_shell.cpp
+++ b/agent/agent_shell.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr Millis TickInterval{25};
+constexpr Millis TickPeriod{25};
 constexpr Millis ExitDelay{200};
 /// Maximum silence of the endpoint within a response.
 constexpr std::chrono::minutes ResponseIdleTimeout{5};
@@ -135,9 +135,9 @@
     Calls.erase(key);
     post(EndpointEnd{key});
   };
-  callbacks.OnFailure = [this, key](HttpFailure Break) {
+  callbacks.OnFailure = [this, key](HttpFailure Failure) {
     Calls.erase(key);
-    post(ExchangeFailed{key, Break.WasSent});
+    post(ExchangeFailed{key, Failure.WasSent});
   };
   Counts.count("attempts_started_total");
   Calls[key] = startHttpCall(Io, EndpointAddress, request, ResponseIdleTimeout,
@@ -199,14 +199,14 @@
   callbacks.OnBody = [](std::string_view) {};
   callbacks.OnEnd = [self = shared_from_this()] { self->IsProbing = false; };
   callbacks.OnFailure = [self = shared_from_this(), RetriesLeft,
-                         announced = LastAnnounce](HttpFailure Break) {
+                         announced = LastAnnounce](HttpFailure Failure) {
     self->IsProbing = false;
     // An announcement since the probe may come from a new process at the same
     // address.
-    if (Break.IsRefused && self->LastAnnounce == announced) {
+    if (Failure.IsRefused && self->LastAnnounce == announced) {
       self->EndpointAddress.clear();
       self->post(EndpointGone{});
-    } else if (RetriesLeft > 0 && !Break.IsTimeout) {
+    } else if (RetriesLeft > 0 && !Failure.IsTimeout) {
       self->scheduleProbeRetry(RetriesLeft - 1);
     }
   };
@@ -304,7 +304,7 @@
   std::function<void(AgentEvent &)> handleEvent =
       [self = shared_from_this()](AgentEvent &it) { self->handleEvent(it); };
   Role = System.spawn(makeRoleBehavior<AgentEvent>, handleEvent,
-                      AgentEvent(AgentTick{}), TickInterval);
+                      AgentEvent(AgentTick{}), TickPeriod);
   scheduleSilenceProbe();
   return true;
 }
--- a/agent/agent_state.h
+++ b/agent/agent_state.h
@@ -78,7 +78,9 @@
 struct RowState {
   bool IsLoaded = false;
   bool IsAdapter = false;
-  uint64_t FailedFence = 0;   ///< Load that was refused or lacked room.
+  /// Fence of the load that the endpoint refused, or that was not ordered as
+  /// memory was short or an unassigned row was still loaded.
+  uint64_t FailedFence = 0;
   TimePoint LastOrderEndedAt; ///< Reports are ignored for the lag after it.
   bool IsUncertain = false;   ///< An order was not answered; reports decide.
   TimePoint LastUse;
--- a/agent/attempts.cpp
+++ b/agent/attempts.cpp
@@ -30,10 +30,10 @@
 void replyOutcome(AgentEffects &Out, const std::string &Address,
                   const AttemptKey &Key, wire::AttemptOutcome Outcome,
                   const std::string &Reason) {
-  wire::AttemptReply answer;
-  answer.set_outcome(Outcome);
-  answer.set_reason(Reason);
-  reply(Out, Address, Key, std::move(answer));
+  wire::AttemptReply attemptReply;
+  attemptReply.set_outcome(Outcome);
+  attemptReply.set_reason(Reason);
+  reply(Out, Address, Key, std::move(attemptReply));
 }
 
 void recordEnd(AgentState &State, const AttemptKey &Key,
@@ -177,12 +177,12 @@
     return;
   }
   active->second.HasHead = true;
-  wire::AttemptReply answer;
-  answer.set_outcome(wire::ATTEMPT_HEAD);
-  answer.set_status(Head.Status);
+  wire::AttemptReply attemptReply;
+  attemptReply.set_outcome(wire::ATTEMPT_HEAD);
+  attemptReply.set_status(Head.Status);
   for (const wire::Header &it : Head.Headers)
-    *answer.add_headers() = it;
-  reply(Out, active->second.ReplyAddress, Head.Key, std::move(answer));
+    *attemptReply.add_headers() = it;
+  reply(Out, active->second.ReplyAddress, Head.Key, std::move(attemptReply));
 }
 
 void forwardBody(AgentState &State, const EndpointBody &Body,
@@ -190,12 +190,12 @@
   auto active = State.Attempts.find(Body.Key);
   if (active == State.Attempts.end())
     return;
-  wire::AttemptReply answer;
-  answer.set_outcome(wire::ATTEMPT_BODY);
-  answer.set_offset(active->second.Offset);
-  answer.set_body(Body.Bytes);
+  wire::AttemptReply attemptReply;
+  attemptReply.set_outcome(wire::ATTEMPT_BODY);
+  attemptReply.set_offset(active->second.Offset);
+  attemptReply.set_body(Body.Bytes);
   active->second.Offset += Body.Bytes.size();
-  reply(Out, active->second.ReplyAddress, Body.Key, std::move(answer));
+  reply(Out, active->second.ReplyAddress, Body.Key, std::move(attemptReply));
 }
 
 void completeAttempt(AgentState &State, const AttemptKey &Key, TimePoint Now,
@@ -203,10 +203,10 @@
   auto active = State.Attempts.find(Key);
   if (active == State.Attempts.end())
     return;
-  wire::AttemptReply answer;
-  answer.set_outcome(wire::ATTEMPT_END);
-  answer.set_length(active->second.Offset);
-  reply(Out, active->second.ReplyAddress, Key, std::move(answer));
+  wire::AttemptReply attemptReply;
+  attemptReply.set_outcome(wire::ATTEMPT_END);
+  attemptReply.set_length(active->second.Offset);
+  reply(Out, active->second.ReplyAddress, Key, std::move(attemptReply));
   State.Rows[active->second.Row].LastUse = Now;
   State.Attempts.erase(active);
   recordEnd(State, Key, wire::ATTEMPT_FAILED);
--- a/core/settings.h
+++ b/core/settings.h
@@ -21,9 +21,11 @@
   uint32_t LoadsAtOnce = 4;
   uint32_t AdaptersAtOnce = 32;
   uint32_t SnapshotEntries = 2000;
+  /// Bounds of the idle time-out; the lower one applies while memory is free.
   Millis ShortestIdle{5'000};
   Millis LongestIdle{600'000};
-  Millis LoadTime{10'000};
+  Millis LoadTime{10'000}; ///< Delay of a cold start for a caller.
+  /// Idle seconds that cost as much as one second of waiting.
   double ColdStartPrice = 3;
 };
 
@@ -40,7 +42,7 @@
   uint64_t BodyBytes = 8ULL * 1024 * 1024;
 };
 
-/// [front_role]: entry and control in one process, on a prepared platform.
+/// [front_role]: entry and control in one process, on a managed platform.
 struct FrontSettings {
   std::string Ready;   ///< Address of the balancer's readiness check.
   std::string Control; ///< Address for operators and endpoints.
--- a/core/timing.h
+++ b/core/timing.h
@@ -50,6 +50,8 @@
 inline constexpr Millis GrantLifetime{2000};
 /// The issuer counts a grant as outstanding this long.
 inline constexpr Millis GrantLifetimeAtIssuer{2300};
+/// After a grant request, the next one is sent once a reply has arrived or this
+/// time has passed.
 inline constexpr Millis GrantRetry{200};
 
 /// A proposal or claim that got no reply is sent again after this time.
--- a/engine_agent/engine_agent_shell.cpp
+++ b/engine_agent/engine_agent_shell.cpp
@@ -32,7 +32,7 @@
 constexpr Millis LoadReportInterval{400};
 /// With more fronts than this, both intervals grow in proportion to the number
 /// of fronts, up to the maximum below.
-constexpr int64_t MaxUnscaledFronts = 10;
+constexpr int64_t MaxFrontsAtFullRate = 10;
 constexpr Millis MaxFullReportInterval{9'000};
 constexpr Millis MaxLoadReportInterval{1'200};
 /// Interval of heartbeats, each of which asks one front for the roster.
@@ -41,12 +41,12 @@
 /// that start at the same time know only some of the others at first.
 constexpr Millis StartupRosterInterval{100};
 constexpr Millis StartupPhase{2'000};
-/// Interval at which expired kept connections to the engine are closed.
-constexpr Millis SweepInterval{2'000};
+/// Interval at which expired pooled connections to the engine are closed.
+constexpr Millis SweepPeriod{2'000};
 constexpr Millis ExitDelay{150};
 /// Fencing token of all commands. Only this process sends commands to the
 /// engine, so it never has to increase.
-constexpr uint64_t ConstantFence = 1;
+constexpr uint64_t ConstantFencingToken = 1;
 constexpr unsigned StatusOk = 200;
 
 class EngineAgentShell : public RoleShell,
@@ -200,10 +200,10 @@
     else
       self->handleEngineLoss("HTTP status " + std::to_string(*status));
   };
-  callbacks.OnFailure = [self = shared_from_this()](HttpFailure Break) {
+  callbacks.OnFailure = [self = shared_from_this()](HttpFailure Failure) {
     self->IsPolling = false;
-    self->handleEngineLoss(Break.IsRefused ? "connection refused"
-                                           : "no complete response");
+    self->handleEngineLoss(Failure.IsRefused ? "connection refused"
+                                             : "no complete response");
   };
   Client.start(Options.EngineAgentRole.Engine, platform::makeStateRequest(),
                {EngineTimeout, EngineTimeout, EngineTimeout * 4},
@@ -232,7 +232,7 @@
   TimePoint now = Clock::now();
   publishReport(now);
   if (isPast(NextSweep, now)) {
-    NextSweep = now + SweepInterval;
+    NextSweep = now + SweepPeriod;
     Client.closeExpired();
   }
   bool isActive = State.Goal || !State.Adapters.empty() ||
@@ -269,7 +269,7 @@
   engineCommand.Adapter = Planned.Adapter;
   engineCommand.ExpectedSequence = Planned.ExpectedSequence;
   engineCommand.Holder = Options.Node;
-  engineCommand.FencingToken = ConstantFence;
+  engineCommand.FencingToken = ConstantFencingToken;
   engineCommand.Endpoint = Planned.Endpoint;
   Counts.count("engine_orders_total",
                Planned.IsLoad ? "kind=\"load\"" : "kind=\"unload\"");
@@ -332,7 +332,7 @@
 Millis EngineAgentShell::scaleInterval(Millis Interval, Millis Max) const {
   auto fronts = static_cast<int64_t>(Fronts.Nodes.size());
   return std::max(Interval,
-                  std::min(Interval * fronts / MaxUnscaledFronts, Max));
+                  std::min(Interval * fronts / MaxFrontsAtFullRate, Max));
 }
 
 void EngineAgentShell::publishReport(TimePoint Now) {
--- a/http/server.cpp
+++ b/http/server.cpp
@@ -93,8 +93,8 @@
   std::atomic<bool> IsDraining{false};
 };
 
-/// One connection. Everything except the methods that SessionExchange calls
-/// runs on the I/O context's thread.
+/// One connection. It runs on the I/O context's thread, except for the methods
+/// that SessionExchange calls directly instead of through the I/O context.
 class Session : public std::enable_shared_from_this<Session> {
 public:
   Session(Tcp::socket Socket, std::shared_ptr<HttpServer::Impl> Server)
--- a/misc/capacity.py
+++ b/misc/capacity.py
@@ -18,7 +18,7 @@
 TOKENS_PER_SECOND = 2_600_000
 CPU_LIMIT_PERCENT = 2.2
 MEMORY_LIMIT_MB = 64
-BYTES_LIMIT = 18_000
+BYTES_PER_SECOND_LIMIT = 18_000
 CHANGES_PER_LOAD_CYCLE = 4  # load ordered, loaded, unload ordered, unloaded
 BYTES_PER_CHANGE = 150
 
@@ -72,7 +72,7 @@
     print("|---|---|---|---|")
     print(f"| load and unload cycles per second, whole fleet | {load_cycles:.2f} | | computed |")
     print(f"| changes per second, whole fleet | {changes:.1f} | | computed |")
-    print(f"| sent to an entry that holds all rows, B/s | {sent_bytes:.0f} | {BYTES_LIMIT} | computed |")
+    print(f"| sent to an entry that holds all rows, B/s | {sent_bytes:.0f} | {BYTES_PER_SECOND_LIMIT} | computed |")
     for role in ("leader", "follower", "entry"):
         base, per_row = fit_line(idle[role, "rows"], "memory_mb")
         print(f"| memory of {role} with all {rows} rows, MB |"
@@ -82,7 +82,7 @@
               f" {regional:.0f} | {MEMORY_LIMIT_MB} | computed |")
     agent = idle["agent", "agents"][0][1]
     print(f"| agent memory, MB | {agent['memory_mb']:.1f} | {MEMORY_LIMIT_MB} | measured |")
-    print(f"| agent sent, B/s | {agent['sent_bytes_s']:.0f} | {BYTES_LIMIT} | measured |")
+    print(f"| agent sent, B/s | {agent['sent_bytes_s']:.0f} | {BYTES_PER_SECOND_LIMIT} | measured |")
     print(f"| agents per region leader | {agents:.0f} | | computed |")
     print(f"| sent by that leader, KB/s | {agents * leader_agent / 1000:.0f} | | computed |")
     print(f"| that leader's CPU for agents, % of a core |"
--- a/tests/agent/test_agent_state.cpp
+++ b/tests/agent/test_agent_state.cpp
@@ -75,14 +75,14 @@
   wire::AttemptReply send(const wire::Attempt &Attempt) {
     wire::Envelope message;
     *message.mutable_attempt() = Attempt;
-    wire::AttemptReply answer;
+    wire::AttemptReply attemptReply;
     for (AgentEffect &it : stepAgent(State, AgentReceived{message}, Now)) {
       Started += std::holds_alternative<StartExchange>(it);
       if (auto *send = std::get_if<AgentSend>(&it))
         if (send->Message.has_attempt_reply())
-          answer = send->Message.attempt_reply();
+          attemptReply = send->Message.attempt_reply();
     }
-    return answer;
+    return attemptReply;
   }
 
   AgentState State;
@@ -167,9 +167,9 @@
     AgentFixture fixture;
     wire::Attempt attempt = fixture.attempt("r");
     it.Change(fixture, attempt);
-    wire::AttemptReply answer = fixture.send(attempt);
-    CHECK(answer.outcome() == it.Outcome);
-    CHECK(answer.reason() == it.Reason);
+    wire::AttemptReply attemptReply = fixture.send(attempt);
+    CHECK(attemptReply.outcome() == it.Outcome);
+    CHECK(attemptReply.reason() == it.Reason);
     CHECK(fixture.Started == (it.Outcome == wire::ATTEMPT_NONE ? 1 : 0));
   }
 }
--- a/wire/link.h
+++ b/wire/link.h
@@ -53,7 +53,7 @@
   /// port. Empty before start().
   const std::string &address() const;
   /// Queues \p Message for \p Address and drops it if that queue is full.
-  /// Thread-safe.
+  /// Thread safe.
   void send(const std::string &Address, wire::Envelope Message);
   /// Closes all sockets. Queued messages are still sent for at most 500 ms.
   /// Must be called on the thread that runs the io_context.
