--- a/tests/fleet_run/fleet_driver.cpp
+++ b/tests/fleet_run/fleet_driver.cpp
@@ -13,7 +13,7 @@
 
 constexpr Millis TickPeriod{25};
 constexpr Millis AnnouncePeriod{200};
-constexpr uint64_t EngineMemory = 1000;
+constexpr uint64_t EngineMemoryMb = 1000;
 /// Upper bounds from the stated targets.
 constexpr Millis WithdrawBound{5000};
 constexpr Millis LeaveBound{5000};
@@ -36,12 +36,15 @@
 } // namespace
 
 std::vector<wire::TableRow> testTableRows() {
-  const char *csv =
-      "kind,name,base,memory_mb,max_replicas,weight,rate,burst,longest_wait_s,"
-      "path,repeatable,repeat_window_s\norganisation,alpha,,,,2,100,400,,,,"
-      "\norganisation,beta,,,,1,50,200,,,,\nmodel,m1,,400,2,1,,,8,,,\nmodel,m2,"
-      ",500,1,1,,,8,,,\nmodel,m3,,700,1,2,,,8,,,\nadapter,a1,m1,100,2,1,,,8,,,"
-      "\nservice,pay,,,,1,,,6,/pay,no,3600\n";
+  const char *csv = "kind,name,base,memory_mb,max_replicas,weight,rate,burst,"
+                    "longest_wait_s,path,repeatable,repeat_window_s\n"
+                    "organisation,alpha,,,,2,100,400,,,,\n"
+                    "organisation,beta,,,,1,50,200,,,,\n"
+                    "model,m1,,400,2,1,,,8,,,\n"
+                    "model,m2,,500,1,1,,,8,,,\n"
+                    "model,m3,,700,1,2,,,8,,,\n"
+                    "adapter,a1,m1,100,2,1,,,8,,,\n"
+                    "service,pay,,,,1,,,6,/pay,no,3600\n";
   TableProblem problem;
   return *parseTable(csv, problem);
 }
@@ -351,12 +354,12 @@
 }
 
 void FleetDriver::resend(const std::string &OperationId) {
-  auto open = PendingOperations.find(OperationId);
-  if (open == PendingOperations.end())
+  auto pending = PendingOperations.find(OperationId);
+  if (pending == PendingOperations.end())
     return;
   wire::Envelope message;
   message.mutable_proposal()->set_request_id(OperationId);
-  *message.mutable_proposal()->mutable_command() = open->second;
+  *message.mutable_proposal()->mutable_command() = pending->second;
   for (const auto &[name, node] : Controls)
     transmit(OperatorName, name, message);
   after(Millis(400), [this, OperationId] { resend(OperationId); });
@@ -443,8 +446,8 @@
   return id;
 }
 
-void FleetDriver::charge(const std::string &Entry, const std::string &KeyId,
-                         const std::string &Body) {
+void FleetDriver::sendCharge(const std::string &Entry, const std::string &KeyId,
+                             const std::string &Body) {
   send(Entry, KeyId, "", Body, 0);
 }
 
@@ -467,7 +470,7 @@
       finish(end->Id);
       CallerRecord &caller = Callers[end->Id];
       caller.HasResponse = true;
-      for (Charge &charge : Charges)
+      for (TokenCharge &charge : TokenCharges)
         if (charge.Request == end->Id)
           charge.Tokens = static_cast<double>(tokensUsedBy(caller.Request));
       if (caller.ReceivedBody != responseTo(caller.Request))
@@ -498,7 +501,7 @@
     return;
   EndpointReport report;
   report.Incarnation = node.Engine.Incarnation;
-  report.MemoryMb = EngineMemory;
+  report.MemoryMb = EngineMemoryMb;
   report.IsLeaving = node.Engine.IsLeaving;
   for (const auto &[name, row] : node.Engine.Rows)
     (row.IsLoading ? report.Loading : report.Loaded).insert(name);
@@ -567,7 +570,7 @@
     fail("request reached an engine that does not hold its row");
   uint64_t engine = Node.Engine.Incarnation;
   uint64_t agent = Processes[name].Incarnation;
-  std::string answer = responseTo(caller.Request);
+  std::string response = responseTo(caller.Request);
   auto pass = [this, name, engine, agent](const AgentEvent &Event) {
     whenAwake(name, [this, name, engine, agent, Event] {
       if (Processes[name].Incarnation != agent)
@@ -578,17 +581,17 @@
     });
   };
   Millis first = randomMillis(10, 300);
-  size_t half = answer.size() / 2;
+  size_t half = response.size() / 2;
   after(first, [pass, key] { pass(EndpointHead{key, 200, {}}); });
   if (chance(FailureProbability)) {
     after(first + Millis(5), [pass, key] { pass(ExchangeFailed{key, true}); });
     return;
   }
-  after(first + Millis(5), [pass, key, answer, half] {
-    pass(EndpointBody{key, answer.substr(0, half)});
+  after(first + Millis(5), [pass, key, response, half] {
+    pass(EndpointBody{key, response.substr(0, half)});
   });
-  after(first + Millis(9), [pass, key, answer, half] {
-    pass(EndpointBody{key, answer.substr(half)});
+  after(first + Millis(9), [pass, key, response, half] {
+    pass(EndpointBody{key, response.substr(half)});
   });
   after(first + Millis(10), [pass, key] { pass(EndpointEnd{key}); });
 }
@@ -597,24 +600,24 @@
   std::string name = Node.Name;
   uint64_t engine = Node.Engine.Incarnation;
   uint64_t agent = Processes[name].Incarnation;
-  auto answer = [this, name, engine, agent, Order](bool IsDone) {
+  auto reply = [this, name, engine, agent, Order](bool IsSuccess) {
     // The reply to an order can be lost with its connection.
     bool isAnswered = !chance(FailureProbability);
     whenAwake(name, [=, this] {
       if (Processes[name].Incarnation == agent &&
           Agents[name].Engine.Incarnation == engine)
         stepOf(Agents[name], OrderResult{Order.Row, Order.Fence,
-                                         IsDone && isAnswered, isAnswered});
+                                         IsSuccess && isAnswered, isAnswered});
     });
   };
-  after(randomMillis(0, 5), [this, name, engine, Order, answer] {
+  after(randomMillis(0, 5), [this, name, engine, Order, reply] {
     FakeEngine &target = Agents[name].Engine;
     if (!target.IsUp || target.Incarnation != engine)
       return;
     bool isStale =
         Options.EnginesHonourFences && Order.Number < target.NewestFence;
     if (isStale) {
-      answer(false);
+      reply(false);
       return;
     }
     target.NewestFence = std::max(target.NewestFence, Order.Number);
@@ -628,23 +631,23 @@
            std::to_string(replica ? replica->fence() : 0));
     if (Order.Kind == OrderKind::Unload) {
       target.Rows.erase(Order.Row);
-      answer(true);
+      reply(true);
       return;
     }
     if (!target.Rows.contains(Order.Row))
       target.Rows[Order.Row] = {Order.MemoryMb, true};
     if (chance(FailureProbability)) {
       target.Rows.erase(Order.Row);
-      answer(false);
+      reply(false);
       return;
     }
-    after(randomMillis(50, 900), [this, name, engine, Order, answer] {
+    after(randomMillis(50, 900), [this, name, engine, Order, reply] {
       FakeEngine &current = Agents[name].Engine;
       auto row = current.Rows.find(Order.Row);
       bool isHeld = current.Incarnation == engine && row != current.Rows.end();
       if (isHeld)
         row->second.IsLoading = false;
-      answer(isHeld);
+      reply(isHeld);
     });
   });
 }
@@ -673,7 +676,7 @@
       what += name;
       fail(what);
     }
-    if (memory > EngineMemory)
+    if (memory > EngineMemoryMb)
       fail("memory of " + name + " is overcommitted");
   }
   for (const wire::Item *it : fleet.Items.list("row/"))
@@ -689,9 +692,9 @@
                              countPendingRequests(Node.State))
     fail("outcomes of " + Node.Name + " do not add up");
   for (const auto &[id, request] : Node.State.Requests)
-    if (request.Charged > 0 && RecordedCharges.insert(id).second)
-      Charges.push_back({Now, request.Organisation, id,
-                         static_cast<double>(request.Charged)});
+    if (request.Charged > 0 && ChargedRequests.insert(id).second)
+      TokenCharges.push_back({Now, request.Organisation, id,
+                              static_cast<double>(request.Charged)});
   uint64_t &newest = NewestView[Node.Name];
   if (Node.State.View.Version < newest)
     fail("view of " + Node.Name + " went back to an older version");
@@ -737,7 +740,7 @@
                              double Burst) {
   double level = Burst;
   TimePoint last;
-  for (const Charge &it : Charges) {
+  for (const TokenCharge &it : TokenCharges) {
     if (it.Organisation != Organisation)
       continue;
     std::chrono::duration<double> passed = it.At - last;
--- a/tests/fleet_run/fleet_driver.h
+++ b/tests/fleet_run/fleet_driver.h
@@ -92,7 +92,9 @@
   int Runs = 0;
 };
 
-struct Charge {
+/// Tokens charged for one request, replaced by those that its response used
+/// once the response is complete.
+struct TokenCharge {
   TimePoint At;
   std::string Organisation;
   std::string Request;
@@ -129,8 +131,9 @@
   std::string send(const std::string &Entry, const std::string &KeyId,
                    const std::string &Row, const std::string &Body,
                    uint64_t Cost);
-  void charge(const std::string &Entry, const std::string &KeyId,
-              const std::string &Body);
+  /// Sends a request to the service, which must not be repeated.
+  void sendCharge(const std::string &Entry, const std::string &KeyId,
+                  const std::string &Body);
   void propose(const std::string &OperationId, wire::Command Command);
   void putTable(const std::string &OperationId, uint64_t Base,
                 const std::vector<wire::TableRow> &Rows);
@@ -155,7 +158,7 @@
   std::map<std::string, TimePoint> WithdrawnAt;
   /// Executions of requests that must not repeat, by organisation and body.
   std::map<std::string, int> RunsByBody;
-  std::vector<Charge> Charges;
+  std::vector<TokenCharge> TokenCharges;
   uint64_t StepCount = 0;
   /// No loss, duplication or long delay of messages, and no crash of a control
   /// member between two effects.
@@ -210,7 +213,7 @@
   void resend(const std::string &OperationId);
   std::map<std::string, wire::Command> PendingOperations;
   std::map<std::string, uint64_t> CheckedVersion;
-  std::set<std::string> RecordedCharges;
+  std::set<std::string> ChargedRequests; ///< Ids in TokenCharges.
   std::map<std::string, TimePoint> LeavingSince;
   std::map<uint64_t, std::string> AppliedDigests;
   std::map<std::string, uint64_t> NewestView;
--- a/tests/fleet_run/test_promises.cpp
+++ b/tests/fleet_run/test_promises.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Fault injection with seeds: runs the decision logic of all roles together
+/// Seeded fault injection: runs the decision logic of all roles together
 /// and checks every invariant after every step.
 ///
 /// FLEET_SEEDS sets the number of seeds per test case, FLEET_SEED replays one.
@@ -176,7 +176,7 @@
       // through both entries.
       std::string body =
           "charge " + std::to_string(Fleet.randomMillis(1, 12).count());
-      Fleet.charge(randomEntry(), key, body);
+      Fleet.sendCharge(randomEntry(), key, body);
     } else {
       auto cost = static_cast<uint64_t>(Fleet.randomMillis(5, 60).count());
       std::string body = "prompt " + std::to_string(++Serial);
