--- a/tests/fakes/fake_endpoint.cpp
+++ b/tests/fakes/fake_endpoint.cpp
@@ -54,7 +54,7 @@
   int Running = 0;
   int Overcommits = 0; ///< Loads that exceeded MemoryMb.
   int KeysSeen = 0;    ///< API keys found in header fields and targets.
-  int Strays = 0;      ///< Completions for models that are not loaded.
+  int Strays = 0;      ///< Completion requests for models not loaded.
   std::map<std::string, int> RunsByBody;
   std::vector<std::shared_ptr<HttpExchange>> Stalled;
 };
@@ -219,9 +219,9 @@
         });
 }
 
-void sendCompletion(FakeEndpoint &Endpoint, const Exchange &Exchange,
-                    const std::string &RequestDigest, int64_t Count,
-                    size_t PromptBytes) {
+void respondWithCompletion(FakeEndpoint &Endpoint, const Exchange &Exchange,
+                           const std::string &RequestDigest, int64_t Count,
+                           size_t PromptBytes) {
   std::string text;
   for (int64_t i = 0; i < Count; ++i)
     text += tokenText(RequestDigest, i);
@@ -257,7 +257,8 @@
     streamToken(Endpoint, Exchange, requestDigest, 0, count, isTruncated);
     return;
   }
-  sendCompletion(Endpoint, Exchange, requestDigest, count, Request.Body.size());
+  respondWithCompletion(Endpoint, Exchange, requestDigest, count,
+                        Request.Body.size());
 }
 
 void handleCallerRequest(FakeEndpoint &Endpoint, const HttpRequest &Request,
--- a/tests/harness/demo.cpp
+++ b/tests/harness/demo.cpp
@@ -43,10 +43,11 @@
 private:
   void step(const char *What, const std::string &Expected,
             const std::string &Actual, bool HasPassed);
-  CallerResponse complete(int Entry, const std::string &Key,
-                          const std::string &Model, const std::string &Prompt,
-                          int Tokens, bool IsStream);
-  CallerResponse charge(int Entry, const std::string &Body);
+  CallerResponse sendCompletion(int Entry, const std::string &Key,
+                                const std::string &Model,
+                                const std::string &Prompt, int Tokens,
+                                bool IsStream);
+  CallerResponse sendCharge(int Entry, const std::string &Body);
   void startFleet();
   void serveModels();
   void serveService();
@@ -77,10 +78,10 @@
   std::fflush(stdout);
 }
 
-CallerResponse Demo::complete(int Entry, const std::string &UsedKey,
-                              const std::string &Model,
-                              const std::string &Prompt, int Tokens,
-                              bool IsStream) {
+CallerResponse Demo::sendCompletion(int Entry, const std::string &UsedKey,
+                                    const std::string &Model,
+                                    const std::string &Prompt, int Tokens,
+                                    bool IsStream) {
   std::string body = "{\"model\":\"" + Model + "\",\"prompt\":\"" + Prompt +
                      "\",\"max_tokens\":" + std::to_string(Tokens) +
                      ",\"stream\":" + (IsStream ? "true" : "false") + "}";
@@ -92,7 +93,7 @@
                   seconds(70));
 }
 
-CallerResponse Demo::charge(int Entry, const std::string &Body) {
+CallerResponse Demo::sendCharge(int Entry, const std::string &Body) {
   return callHttp(Fleet.entryAddress(Entry),
                   {"POST", Names.ServicePath, {{"x-api-key", Key}}, Body});
 }
@@ -115,34 +116,37 @@
   });
   step("endpoints announce themselves", "4 listed",
        isListed ? "4 listed" : "fewer", isListed);
-  CallerResponse cold = complete(1, Key, Names.Model, "first", 20, true);
+  CallerResponse cold = sendCompletion(1, Key, Names.Model, "first", 20, true);
   bool isComplete = cold.Status == 200 && cold.IsComplete &&
                     cold.Body.find("t19-") != std::string::npos &&
                     cold.Body.find("[DONE]") != std::string::npos;
   step("cold model, streamed", "200 complete, 20 tokens", describe(cold),
        isComplete);
-  CallerResponse warm = complete(2, Key, Names.Model, "second", 20, false);
+  CallerResponse warm =
+      sendCompletion(2, Key, Names.Model, "second", 20, false);
   step("warm model, other entry", "200 complete", describe(warm),
        warm.Status == 200 && warm.IsComplete);
-  CallerResponse adapter = complete(1, Key, Names.Adapter, "third", 10, true);
+  CallerResponse adapter =
+      sendCompletion(1, Key, Names.Adapter, "third", 10, true);
   step("adapter", "200 complete", describe(adapter),
        adapter.Status == 200 && adapter.IsComplete);
 }
 
 void Demo::serveService() {
-  CallerResponse first = charge(1, "{\"charge\":1}");
+  CallerResponse first = sendCharge(1, "{\"charge\":1}");
   step("plain service, first charge", "200, executed once",
        describe(first) + " " + first.Body,
        first.Status == 200 &&
            first.Body.find("\"runs\":1") != std::string::npos);
-  CallerResponse repeated = charge(2, "{\"charge\":1}");
+  CallerResponse repeated = sendCharge(2, "{\"charge\":1}");
   step("repeated charge, other entry", "the first response, not executed again",
        describe(repeated) + " " + repeated.Body,
        repeated.Status == 200 && repeated.Body == first.Body);
 }
 
 void Demo::causeRefusals() {
-  CallerResponse wrong = complete(1, "sk-wrong", Names.Model, "x", 5, false);
+  CallerResponse wrong =
+      sendCompletion(1, "sk-wrong", Names.Model, "x", 5, false);
   step("wrong key", "401 not_run", describe(wrong),
        wrong.Status == 401 && wrong.Body.find("not_run") != std::string::npos);
   std::string smallKey = Fleet.grantKey(Names.SmallOrganisation, "small");
@@ -152,8 +156,8 @@
   for (int i = 0; i < 60; ++i)
     callers.emplace_back([&, i] {
       CallerResponse response =
-          complete(1 + i % 2, smallKey, Names.Model,
-                   "burst " + std::to_string(i), 500, false);
+          sendCompletion(1 + i % 2, smallKey, Names.Model,
+                         "burst " + std::to_string(i), 500, false);
       served += response.Status == 200;
       refused += response.Status == 429;
     });
@@ -172,11 +176,12 @@
   std::thread traffic([&] {
     while (!isStopping)
       served +=
-          complete(1, key, Names.Model, "traffic", 2, false).Status == 200;
+          sendCompletion(1, key, Names.Model, "traffic", 2, false).Status ==
+          200;
   });
   waitUntil(seconds(10), [&] { return served > 5; });
   ToolResult result = Fleet.ctl({"--wait", "key", "withdraw", "second"});
-  CallerResponse after = complete(2, key, Names.Model, "after", 2, false);
+  CallerResponse after = sendCompletion(2, key, Names.Model, "after", 2, false);
   isStopping = true;
   traffic.join();
   step("key withdrawn during traffic", "in force, then 401",
@@ -190,18 +195,18 @@
       replicas.Out.substr(at + Names.Model.size() + 4, std::strlen("engine-1"));
   Fleet.kill(engine + "-endpoint");
   CallerResponse failover =
-      complete(1, Key, Names.Model, "after a kill", 10, true);
+      sendCompletion(1, Key, Names.Model, "after a kill", 10, true);
   step("engine killed", "200 from another engine",
        describe(failover) + " after killing " + engine,
        failover.Status == 200 && failover.IsComplete);
   std::string oldLeader = Fleet.leader();
   Fleet.kill(oldLeader);
   CallerResponse during =
-      complete(2, Key, Names.Model, "leader is gone", 10, true);
+      sendCompletion(2, Key, Names.Model, "leader is gone", 10, true);
   step("control leader killed, warm model", "200 complete", describe(during),
        during.Status == 200 && during.IsComplete);
   CallerResponse cold =
-      complete(1, Key, Names.OtherModel, "new leader", 10, true);
+      sendCompletion(1, Key, Names.OtherModel, "new leader", 10, true);
   step("cold model with a new leader", "200 complete",
        describe(cold) + ", leader was " + oldLeader + ", is now " +
            Fleet.leader(),
@@ -210,7 +215,7 @@
 
 void Demo::checkEndpointState() {
   std::string violations;
-  for (const std::string &it : Fleet.running()) {
+  for (const std::string &it : Fleet.processes()) {
     if (it.find("-endpoint") == std::string::npos)
       continue;
     CallerResponse state =
@@ -228,10 +233,10 @@
 
 void Demo::stopFleet() {
   std::string failedExits;
-  for (const std::string &it : Fleet.running())
+  for (const std::string &it : Fleet.processes())
     if (it.find("-endpoint") == std::string::npos && it != "store")
       Fleet.signal(it, SIGTERM);
-  for (const std::string &it : Fleet.running())
+  for (const std::string &it : Fleet.processes())
     if (it.find("-endpoint") == std::string::npos && it != "store" &&
         Fleet.waitForExit(it, seconds(15)) != 0)
       failedExits += it + " ";
--- a/tests/harness/front_fleet.cpp
+++ b/tests/harness/front_fleet.cpp
@@ -154,12 +154,12 @@
   return info.si_pid == 0;
 }
 
-std::string FrontFleet::logFile(const std::string &Process) const {
+std::string FrontFleet::logPathOf(const std::string &Process) const {
   return Folder + "/" + Process + ".log";
 }
 
 std::string FrontFleet::log(const std::string &Process) const {
-  return readFile(logFile(Process));
+  return readFile(logPathOf(Process));
 }
 
 std::string FrontFleet::settingsPathOf(const std::string &Process) const {
@@ -186,7 +186,7 @@
 void FrontFleet::spawn(const std::string &Process, const std::string &Toml) {
   std::string path = settingsPathOf(Process);
   std::ofstream(path) << Toml;
-  std::string output = logFile(Process);
+  std::string output = logPathOf(Process);
   size_t logStart = log(Process).size();
   std::string program = DAEMON_PROGRAM;
   std::string flag = "--settings";
--- a/tests/harness/front_fleet.h
+++ b/tests/harness/front_fleet.h
@@ -60,7 +60,7 @@
   std::string readTable(int Host) const;
   bool isRunning(const std::string &Process) const;
   std::string log(const std::string &Process) const;
-  std::string logFile(const std::string &Process) const;
+  std::string logPathOf(const std::string &Process) const;
   std::string settingsPathOf(const std::string &Process) const;
   /// Runs the operator tool with the settings of front 1.
   ToolResult ctl(const std::string &Arguments) const;
--- a/tests/harness/process_fleet.cpp
+++ b/tests/harness/process_fleet.cpp
@@ -151,7 +151,7 @@
 }
 
 ProcessFleet::~ProcessFleet() {
-  for (const std::string &it : running())
+  for (const std::string &it : processes())
     kill(it);
   if (!std::getenv("KEEP_FLEET_FOLDER"))
     files::remove_all(Folder);
@@ -356,7 +356,7 @@
   return info.si_pid == 0;
 }
 
-std::vector<std::string> ProcessFleet::running() {
+std::vector<std::string> ProcessFleet::processes() {
   std::vector<std::string> names;
   for (const auto &[name, pid] : Processes)
     names.push_back(name);
--- a/tests/harness/process_fleet.h
+++ b/tests/harness/process_fleet.h
@@ -85,7 +85,7 @@
     return Processes.at(Process);
   }
   /// Names of the processes that were started and not yet waited for.
-  std::vector<std::string> running();
+  std::vector<std::string> processes();
 
   std::string entryAddress(int Number) const {
     return HttpAddresses.at(entryName(Number));
@@ -101,8 +101,8 @@
   std::string leader();
   /// Grants a key and returns it; empty on failure.
   std::string grantKey(const std::string &Organisation, const std::string &Id);
-  /// Returns the value of a metric without labels; 0 if the process does not
-  /// report it within 2 s.
+  /// Returns the value of the metric series \p Name, which includes the labels
+  /// if there are any; 0 if the process does not report it within 2 s.
   double metric(const std::string &Process, const std::string &Name);
   std::string log(const std::string &Process) const;
 
--- a/tests/process/test_explaining.cpp
+++ b/tests/process/test_explaining.cpp
@@ -13,12 +13,11 @@
 
 namespace {
 
-/// Returns the output of the operators' tool for \p Id and all logs of the
-/// fleet.
+/// Returns the output of the operator tool for \p Id and all logs of the fleet.
 std::string explain(const FrontFleet &Fleet, const std::string &Id) {
   std::string arguments = "explain " + Id;
   for (const std::string &it : Fleet.processes())
-    arguments += " " + Fleet.logFile(it);
+    arguments += " " + Fleet.logPathOf(it);
   ToolResult result = Fleet.ctl(arguments);
   INFO(result.Errors);
   CHECK(result.Code == 0);
--- a/tests/process/test_processes.cpp
+++ b/tests/process/test_processes.cpp
@@ -16,11 +16,14 @@
 namespace {
 
 constexpr const char *Table =
-    "kind,name,base,memory_mb,max_replicas,weight,rate,burst,longest_wait_s,"
-    "path,open,repeatable,repeat_window_s\norganisation,alpha,,,,1,100000,"
-    "200000,,,,,\norganisation,beta,,,,1,100000,200000,,,,,\nmodel,m1,,4000,2,"
-    "1,,,8,,,,\nmodel,m2,,4000,1,1,,,4,,,,\nservice,crew-booking,,,,1,,,5,/"
-    "crew,,no,3600\nservice,open-page,,,,1,,,5,/open,yes,yes,\n";
+    "kind,name,base,memory_mb,max_replicas,weight,rate,burst,"
+    "longest_wait_s,path,open,repeatable,repeat_window_s\n"
+    "organisation,alpha,,,,1,100000,200000,,,,,\n"
+    "organisation,beta,,,,1,100000,200000,,,,,\n"
+    "model,m1,,4000,2,1,,,8,,,,\n"
+    "model,m2,,4000,1,1,,,4,,,,\n"
+    "service,crew-booking,,,,1,,,5,/crew,,no,3600\n"
+    "service,open-page,,,,1,,,5,/open,yes,yes,\n";
 
 /// A fleet with the table above and a key of organisation alpha.
 class TestFleet {
@@ -383,7 +386,7 @@
       callHttp(test.Fleet.httpAddressOf("service-1-endpoint"),
                {"GET", "/admin/state", {}, {}});
   CHECK(state.Body.find("\"keys_seen\":0") != std::string::npos);
-  for (const std::string &it : test.Fleet.running())
+  for (const std::string &it : test.Fleet.processes())
     CHECK(test.Fleet.log(it).find(key) == std::string::npos);
   CallerResponse metrics =
       callHttp(test.Fleet.entryAddress(1), {"GET", "/metrics", {}, {}});
