--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -199,7 +199,8 @@
     bool isTableAccepted = waitUntil(RecoveryTimeout, [&] {
       return Fleet.putTable(1, soakTable(1)) == 200;
     });
-    Invariants.check(isTableAccepted, "first table was not accepted in time");
+    Invariants.check(isTableAccepted,
+                     "first table was not accepted within 30 s");
     std::vector<std::thread> threads;
     threads.emplace_back([this] { sendHeartbeats(); });
     threads.emplace_back([this] { updateTables(); });
@@ -427,8 +428,9 @@
         Invariants.recordResponse(once, desk);
         return stream.Status == 200 && desk.Status == 200;
       });
-      Invariants.check(isServing,
-                       name + ": does not serve after all faults have ended");
+      Invariants.check(
+          isServing,
+          name + ": does not serve within 30 s after all faults ended");
     }
     bool isTableKept = waitUntil(RecoveryTimeout, [&] {
       return readTableVersion() >= Invariants.acknowledgedVersion();
