--- a/tests/fleet_run/fleet_driver.cpp
+++ b/tests/fleet_run/fleet_driver.cpp
@@ -600,7 +600,7 @@
   std::string name = Node.Name;
   uint64_t engine = Node.Engine.Incarnation;
   uint64_t agent = Processes[name].Incarnation;
-  auto reply = [this, name, engine, agent, Order](bool IsSuccess) {
+  auto sendReply = [this, name, engine, agent, Order](bool IsSuccess) {
     // The reply to an order can be lost with its connection.
     bool isAnswered = !chance(FailureProbability);
     whenAwake(name, [=, this] {
@@ -610,14 +610,14 @@
                                          IsSuccess && isAnswered, isAnswered});
     });
   };
-  after(randomMillis(0, 5), [this, name, engine, Order, reply] {
+  after(randomMillis(0, 5), [this, name, engine, Order, sendReply] {
     FakeEngine &target = Agents[name].Engine;
     if (!target.IsUp || target.Incarnation != engine)
       return;
     bool isStale =
         Options.EnginesHonourFences && Order.Number < target.NewestFence;
     if (isStale) {
-      reply(false);
+      sendReply(false);
       return;
     }
     target.NewestFence = std::max(target.NewestFence, Order.Number);
@@ -631,23 +631,23 @@
            std::to_string(replica ? replica->fence() : 0));
     if (Order.Kind == OrderKind::Unload) {
       target.Rows.erase(Order.Row);
-      reply(true);
+      sendReply(true);
       return;
     }
     if (!target.Rows.contains(Order.Row))
       target.Rows[Order.Row] = {Order.MemoryMb, true};
     if (chance(FailureProbability)) {
       target.Rows.erase(Order.Row);
-      reply(false);
+      sendReply(false);
       return;
     }
-    after(randomMillis(50, 900), [this, name, engine, Order, reply] {
+    after(randomMillis(50, 900), [this, name, engine, Order, sendReply] {
       FakeEngine &current = Agents[name].Engine;
       auto row = current.Rows.find(Order.Row);
       bool isHeld = current.Incarnation == engine && row != current.Rows.end();
       if (isHeld)
         row->second.IsLoading = false;
-      reply(isHeld);
+      sendReply(isHeld);
     });
   });
 }
