--- a/replication/group_status.cpp
+++ b/replication/group_status.cpp
@@ -65,11 +65,11 @@
   // A blank member learns of leaders, but follows none until one has added it
   // to the group.
   if (State.Role == RaftRole::Blank)
-    return "a leader to take it in; its data folder was empty";
+    return "a leader to add it to the group; its data folder was empty";
   if (State.Leader != 0)
     return {};
   if (!hasVote(State))
-    return "a leader to take it in; it has no vote yet";
+    return "a leader to add it to the group; it has no vote yet";
   // Sorted by name, since the order of members is that in which they joined.
   std::set<std::string> names;
   for (const wire::Member &it : State.Members)
--- a/tests/process/test_processes.cpp
+++ b/tests/process/test_processes.cpp
@@ -260,9 +260,8 @@
   bool namesOne =
       status.Errors.find(prefix + "control-2\n") != std::string::npos;
   CHECK((namesBoth || namesOne));
-  CHECK(status.Errors.find(
-            "control-1 has no leader and waits for a leader to take it in") !=
-        std::string::npos);
+  CHECK(status.Errors.find("control-1 has no leader and waits for a leader to "
+                           "add it to the group") != std::string::npos);
   test.Fleet.reattachDisk(2);
   test.Fleet.startControl(2);
   REQUIRE(waitUntil(seconds(30), [&] {
--- a/tests/replication/test_group_status.cpp
+++ b/tests/replication/test_group_status.cpp
@@ -113,7 +113,7 @@
   CHECK(describeLeaderWait(state).empty());
   tickRaft(state, Start + Millis(600), out);
   CHECK(describeLeaderWait(state) ==
-        "a leader to take it in; it has no vote yet");
+        "a leader to add it to the group; it has no vote yet");
   CHECK(state.Role == RaftRole::Follower);
 }
 
