--- a/fleet/fleet_state.cpp
+++ b/fleet/fleet_state.cpp
@@ -73,7 +73,7 @@
                     uint64_t Index) {
   const wire::TableRow *organisation = findRow(State.Items, Grant.tenant());
   if (!organisation || organisation->kind() != wire::ROW_TENANT)
-    return invalid(State, "no tenant " + Grant.tenant());
+    return invalid(State, "unknown organisation " + Grant.tenant());
   if (Grant.key_id().empty() || Grant.key_hash().empty())
     return invalid(State, "key id and key hash are required");
   if (State.Items.find(keyItemName(Grant.key_id())))
