--- a/fleet/endpoint_directory.h
+++ b/fleet/endpoint_directory.h
@@ -106,7 +106,7 @@
 /// fronts with the same knowledge.
 uint64_t digestEndpoints(const EndpointDirectory &Directory);
 /// All known endpoints whose address no other process has taken over, those
-/// that have left included, as sightings that another front can apply.
+/// that have left included, as observations that another front can apply.
 std::vector<wire::EndpointObservation>
 makeObservations(const EndpointDirectory &Directory, TimePoint Now);
 
--- a/front/dispatch.cpp
+++ b/front/dispatch.cpp
@@ -25,8 +25,8 @@
 /// unload before it or other loads at the same time. A caller that cannot wait
 /// that long is refused at once with a time to retry.
 constexpr int ForecastMarginDivisor = 10;
-/// Mean time for which a running request holds its slot; from the sheets'
-/// sizes.
+/// Mean time for which a running request holds its slot, derived from the
+/// prompt and output sizes of the known deployments.
 constexpr Millis MeanEngineServiceTime{1'700};
 /// The same for plain services.
 constexpr Millis MeanPlainServiceTime{80};
--- a/front/fleet_view.h
+++ b/front/fleet_view.h
@@ -37,7 +37,7 @@
 /// State of the gossip protocol that is not part of FrontState.
 struct GossipState {
   std::vector<std::string> Seeds; ///< Link addresses.
-  /// Sightings to pass on with the next broadcast heartbeat.
+  /// Observations to pass on with the next broadcast heartbeat.
   std::vector<wire::EndpointObservation> PendingObservations;
   std::map<std::string, TimePoint> NextResync; ///< By address and subject.
   /// Digest of the models last sent for each endpoint.
--- a/front/front_shell.cpp
+++ b/front/front_shell.cpp
@@ -73,7 +73,7 @@
   bool startServers(std::string &Problem);
   bool startServer(std::unique_ptr<HttpServer> &Server,
                    const std::string &Address, HttpLimits Limits,
-                   HttpServer::Handlers Calls, std::string &Problem);
+                   HttpServer::Handlers Callbacks, std::string &Problem);
   void startGroup();
   void setLimits(const FrontSettings &Settings);
   void receive(HttpRequest Request,
@@ -188,9 +188,10 @@
 
 bool FrontShell::startServer(std::unique_ptr<HttpServer> &Server,
                              const std::string &Address, HttpLimits Limits,
-                             HttpServer::Handlers Calls, std::string &Problem) {
+                             HttpServer::Handlers Callbacks,
+                             std::string &Problem) {
   Server = std::make_unique<HttpServer>(Io, Address, Limits, Counts,
-                                        std::move(Calls));
+                                        std::move(Callbacks));
   return Server->start(Problem);
 }
 
@@ -227,16 +228,16 @@
   options.DataFolder = Options.FrontRole.DataFolder;
   options.Seeds = Gossip.Seeds;
   options.MayForm = Options.FrontRole.MayForm;
-  ServingGroupCallbacks calls;
-  calls.OnPublish = [this](const StorePublish &Table) {
+  ServingGroupCallbacks callbacks;
+  callbacks.OnPublish = [this](const StorePublish &Table) {
     applyTable(Table.Version, Table.Content);
   };
-  calls.OnResult = [this](const StoreResult &Result) {
+  callbacks.OnResult = [this](const StoreResult &Result) {
     Api->handleStoreResult(Result);
   };
-  calls.OnView = [this](const StoreView &NewView) { applyView(NewView); };
-  Group = std::make_unique<ServingGroup>(Io, System, *Peers, Counts,
-                                         std::move(options), std::move(calls));
+  callbacks.OnView = [this](const StoreView &NewView) { applyView(NewView); };
+  Group = std::make_unique<ServingGroup>(
+      Io, System, *Peers, Counts, std::move(options), std::move(callbacks));
   Group->start();
 }
 
--- a/front/relay.cpp
+++ b/front/relay.cpp
@@ -144,20 +144,23 @@
                                   Request.Urgency, Request.LastEvent};
   HttpRequest message = Message;
   platform::setEndpointFields(message, fields);
-  HttpCallbacks calls;
+  HttpCallbacks callbacks;
   auto self = shared_from_this();
-  calls.OnHead = [self](HttpResponseHead Head) {
+  callbacks.OnHead = [self](HttpResponseHead Head) {
     self->handleHead(std::move(Head));
   };
-  calls.OnBody = [self](std::string_view Bytes) { self->handleBody(Bytes); };
-  calls.OnEnd = [self] { self->handleEnd(); };
-  calls.OnFailure = [self](HttpFailure CallFailure) {
+  callbacks.OnBody = [self](std::string_view Bytes) {
+    self->handleBody(Bytes);
+  };
+  callbacks.OnEnd = [self] { self->handleEnd(); };
+  callbacks.OnFailure = [self](HttpFailure CallFailure) {
     self->handleFailure(CallFailure);
   };
   HttpCallOptions options{std::min(ConnectTimeout, left), left + ConnectTimeout,
                           Request.IsRepeatable ? MaxIdle
                                                : MaxIdleNonRepeatable};
-  Call = Core.Client.start(Target.Address, message, options, std::move(calls));
+  Call =
+      Core.Client.start(Target.Address, message, options, std::move(callbacks));
 }
 
 /// A response to another request, or a successful one without the endpoint's
