--- a/tests/ctl/test_tool.cpp
+++ b/tests/ctl/test_tool.cpp
@@ -47,7 +47,7 @@
       {"same id",
        {"--id", "k1", "key", "grant", "colombo-council"},
        4,
-       "taken"},
+       "key id is already in use"},
       {"listed", {"key", "list"}, 0, "k1 galle-face-hotel"},
       {"withdrawn", {"key", "withdraw", "k1"}, 0, "accepted"},
       {"withdrawn again", {"key", "withdraw", "k1"}, 1, "no key k1"},
